--- /dev/null
+++ b/tests/operations/handover_format_test.cpp
@@ -0,0 +1,587 @@
+/// @file
+/// The formats that two versions of the program share during a hot restart: the state as JSON, and the
+/// messages on the link. The other version may be ff1d420, so these never change.
+#include <gtest/gtest.h>
+#include <sys/socket.h>
+#include <sys/stat.h>
+#include <sys/time.h>
+#include <sys/un.h>
+#include <unistd.h>
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <chrono>
+#include <cstdio>
+#include <cstdlib>
+#include <cstring>
+#include <fstream>
+#include <iterator>
+#include <nlohmann/json.hpp>
+#include <set>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+#include "config/config.hpp"
+#include "operations/handover.hpp"
+#include "operations/state_text.hpp"
+#include "operations/succession.hpp"
+
+namespace meadowyard::testing {
+namespace {
+
+using nlohmann::json;
+using tcp = boost::asio::ip::tcp;
+
+// ---- The state as JSON ---------------------------------------------------------------------------
+
+tcp::endpoint Address(const std::string& address, unsigned short port) {
+  return {boost::asio::ip::make_address(address), port};
+}
+
+HostList FixtureHosts() {
+  Server up;
+  up.id = "web-1";
+  up.zone = "north";
+  up.kind = "large";
+  up.cell = "3";
+  up.weight = 2.5;
+  up.started_at = 1700000000123.25;
+  Server draining;
+  draining.id = "web-\xc3\xa9";
+  draining.zone = "south";
+  draining.kind = "small";
+  draining.cell = "\"c/7\"";
+  draining.state = ServerState::kDraining;
+  draining.weight = 0.1;
+  Server gone;
+  gone.id = "web-3";
+  gone.state = ServerState::kGone;
+  HostList hosts;
+  hosts.revision = 9007199254740993;  // more than a double holds
+  hosts.hosts = {
+      {up, Address("10.1.0.18", 3000)}, {draining, Address("::1", 65535)}, {gone, Address("10.1.0.20", 1)}};
+  return hosts;
+}
+
+Recollection FixtureLearnedState() {
+  Recollection::OfServer trusted;
+  trusted.id = "web-1";
+  trusted.latency = 1.0 / 3;
+  trusted.steady = 0.1;
+  trusted.base = 2.2250738585072014e-308;
+  trusted.limit = 17.75;
+  trusted.failing = 1e-9;
+  trusted.samples = 2147483647;
+  trusted.last_served = 86400000.5;
+  trusted.cold_since = -1e15;
+  trusted.cold_credit = 0.30000000000000004;
+  Recollection::OfServer suspect;
+  suspect.id = "web-\xc3\xa9";
+  suspect.latency = 1.5;
+  suspect.steady = 2;
+  suspect.base = 3;
+  suspect.limit = 4;
+  suspect.failing = 0.875;
+  suspect.samples = 5;
+  suspect.suspect = true;
+  suspect.last_served = -12.5;
+  suspect.cold_since = 99;
+  suspect.cold_credit = 6;
+  Recollection::OfServer lost;
+  lost.id = "web-3";
+  lost.lost = true;
+  Recollection::OfKind kind;
+  kind.name = "large";
+  kind.latency = 1.25;
+  kind.steady = 1.125;
+  kind.base = 0.7;
+  kind.samples = 41;
+  Recollection::OfKind other_kind;
+  other_kind.name = "small";
+  Recollection::OfClass traffic_class;
+  traffic_class.name = "view";
+  traffic_class.latency = 20.2;
+  traffic_class.most_left = 499.5;
+  traffic_class.samples = 3;
+  Recollection::OfClass other_class;
+  other_class.name = "pay";
+  other_class.latency = 1e300;
+  Recollection learned;
+  learned.servers = {trusted, suspect, lost};
+  learned.kinds = {kind, other_kind};
+  learned.classes = {traffic_class, other_class};
+  learned.out_by_hand = {"web-3", "never-listed"};
+  learned.rate = 123.456;
+  learned.spent_rate = 11.1;
+  learned.arriving = 0.0625;
+  learned.failing = 0.01;
+  learned.unserved = 0.02;
+  learned.warm_served = 33.3;
+  learned.warm_time = 44.4;
+  learned.mean_latency = 5.55;
+  learned.samples = 67;
+  return learned;
+}
+
+// What the fixture holds, in the members that hold it today.
+GatewayState FixtureState() {
+  GatewayState state;
+  state.file = R"({"seed":"1f","settings":{"zone":"a"}})";
+  state.discovery = "127.0.0.1:4001";
+  state.hosts = FixtureHosts();
+  state.revision_known = true;
+  state.learned = FixtureLearnedState();
+  state.descriptors = 321;
+  state.edge =
+      "# operators\n[tunnels]\nmost = 10\n\n[[listen]]\nname = \"a \\\"b\\\"\"\taddress = '127.0.0.1:9'\n";
+  return state;
+}
+
+// Written by ToText of ff1d420 from the state that FixtureState() describes.
+std::string StateFixture() {
+  std::ifstream stream(MEADOWYARD_FIXTURES "/ff1d420/handover_state.json", std::ios::binary);
+  EXPECT_TRUE(stream);
+  return {std::istreambuf_iterator<char>(stream), std::istreambuf_iterator<char>()};
+}
+
+void ExpectEqual(const Recollection::OfServer& read, const Recollection::OfServer& expected) {
+  SCOPED_TRACE(expected.id);
+  EXPECT_EQ(read.id, expected.id);
+  EXPECT_EQ(read.latency, expected.latency);
+  EXPECT_EQ(read.steady, expected.steady);
+  EXPECT_EQ(read.base, expected.base);
+  EXPECT_EQ(read.limit, expected.limit);
+  EXPECT_EQ(read.failing, expected.failing);
+  EXPECT_EQ(read.samples, expected.samples);
+  EXPECT_EQ(read.suspect, expected.suspect);
+  EXPECT_EQ(read.lost, expected.lost);
+  EXPECT_EQ(read.last_served, expected.last_served);
+  EXPECT_EQ(read.cold_since, expected.cold_since);
+  EXPECT_EQ(read.cold_credit, expected.cold_credit);
+}
+
+void ExpectEqual(const Recollection::OfKind& read, const Recollection::OfKind& expected) {
+  SCOPED_TRACE(expected.name);
+  EXPECT_EQ(read.name, expected.name);
+  EXPECT_EQ(read.latency, expected.latency);
+  EXPECT_EQ(read.steady, expected.steady);
+  EXPECT_EQ(read.base, expected.base);
+  EXPECT_EQ(read.samples, expected.samples);
+}
+
+void ExpectEqual(const Recollection::OfClass& read, const Recollection::OfClass& expected) {
+  SCOPED_TRACE(expected.name);
+  EXPECT_EQ(read.name, expected.name);
+  EXPECT_EQ(read.latency, expected.latency);
+  EXPECT_EQ(read.most_left, expected.most_left);
+  EXPECT_EQ(read.samples, expected.samples);
+}
+
+template <typename Entry>
+void ExpectEqual(const std::vector<Entry>& read, const std::vector<Entry>& expected) {
+  ASSERT_EQ(read.size(), expected.size());
+  for (std::size_t i = 0; i < read.size(); ++i) ExpectEqual(read[i], expected[i]);
+}
+
+// Guards what a process learned against a change of version: each field that ff1d420 wrote is read into the
+// member that means the same today.
+TEST(HandoverFormat, ReadsTheLearnedStateOfFf1d420) {
+  const auto state = ParseState(StateFixture());
+  ASSERT_TRUE(state);
+  const Recollection& read = state->learned;
+  const Recollection expected = FixtureLearnedState();
+  ExpectEqual(read.servers, expected.servers);
+  ExpectEqual(read.kinds, expected.kinds);
+  ExpectEqual(read.classes, expected.classes);
+  EXPECT_EQ(read.out_by_hand, expected.out_by_hand);
+  EXPECT_EQ(read.rate, expected.rate);
+  EXPECT_EQ(read.spent_rate, expected.spent_rate);
+  EXPECT_EQ(read.arriving, expected.arriving);
+  EXPECT_EQ(read.failing, expected.failing);
+  EXPECT_EQ(read.unserved, expected.unserved);
+  EXPECT_EQ(read.warm_served, expected.warm_served);
+  EXPECT_EQ(read.warm_time, expected.warm_time);
+  EXPECT_EQ(read.mean_latency, expected.mean_latency);
+  EXPECT_EQ(read.samples, expected.samples);
+}
+
+// The same of what a process knows besides: its configuration, the list of hosts and its descriptors.
+TEST(HandoverFormat, ReadsTheHostsAndFilesOfFf1d420) {
+  const auto read = ParseState(StateFixture());
+  ASSERT_TRUE(read);
+  const GatewayState expected = FixtureState();
+  EXPECT_EQ(read->file, expected.file);
+  EXPECT_EQ(read->discovery, expected.discovery);
+  EXPECT_EQ(read->revision_known, expected.revision_known);
+  EXPECT_EQ(read->descriptors, expected.descriptors);
+  EXPECT_EQ(read->edge, expected.edge);
+  EXPECT_EQ(read->hosts.revision, expected.hosts.revision);
+  EXPECT_EQ(read->hosts.complete, expected.hosts.complete);
+  ASSERT_EQ(read->hosts.hosts.size(), expected.hosts.hosts.size());
+  for (std::size_t i = 0; i < expected.hosts.hosts.size(); ++i) {
+    const Host& host = read->hosts.hosts[i];
+    const Host& wanted = expected.hosts.hosts[i];
+    SCOPED_TRACE(wanted.server.id);
+    EXPECT_EQ(host.server.id, wanted.server.id);
+    EXPECT_EQ(host.server.zone, wanted.server.zone);
+    EXPECT_EQ(host.server.kind, wanted.server.kind);
+    EXPECT_EQ(host.server.cell, wanted.server.cell);
+    EXPECT_EQ(host.server.state, wanted.server.state);
+    EXPECT_EQ(host.server.weight, wanted.server.weight);
+    EXPECT_EQ(host.server.started_at, wanted.server.started_at);
+    EXPECT_EQ(host.address, wanted.address);
+  }
+}
+
+// Guards the way back: ff1d420 reads what it would have written itself.
+TEST(HandoverFormat, WritesTheSameBytesAsFf1d420) {
+  const std::string fixture = StateFixture();
+  EXPECT_EQ(ToText(FixtureState()), fixture);
+  const auto state = ParseState(fixture);
+  ASSERT_TRUE(state);
+  EXPECT_EQ(ToText(*state), fixture);
+}
+
+std::set<std::string> Names(const json& object) {
+  std::set<std::string> names;
+  for (const auto& [name, value] : object.items()) names.insert(name);
+  return names;
+}
+
+// Guards the stored names by themselves, so that a new one is seen here too.
+TEST(HandoverFormat, StoresEachFieldUnderItsOwnName) {
+  const json stored = json::parse(ToText(FixtureState()));
+  using Set = std::set<std::string>;
+  EXPECT_EQ(Names(stored),
+            (Set{"file", "discovery", "hosts", "revision_known", "learned", "descriptors", "edge"}));
+  const json& learned = stored.at("learned");
+  EXPECT_EQ(Names(learned),
+            (Set{"servers", "kinds", "classes", "out_by_hand", "rate", "spent_rate", "arriving", "failing",
+                 "unserved", "warm_served", "warm_time", "mean_latency", "samples"}));
+  EXPECT_EQ(Names(learned.at("servers").at(0)),
+            (Set{"id", "latency", "steady", "base", "limit", "failing", "samples", "suspect", "lost",
+                 "last_served", "cold_since", "cold_credit"}));
+  EXPECT_EQ(Names(learned.at("kinds").at(0)), (Set{"name", "latency", "steady", "base", "samples"}));
+  EXPECT_EQ(Names(learned.at("classes").at(0)), (Set{"name", "latency", "most_left", "samples"}));
+}
+
+// Guards against half a state: without any one field, or with one of another type, the whole is refused. Only
+// "edge" may be missing, as versions before tunnels have none.
+TEST(HandoverFormat, RefusesAStateThatLacksAField) {
+  const json whole = json::parse(StateFixture());
+  std::vector<json::json_pointer> fields;
+  const auto add = [&](const json::json_pointer& parent) {
+    for (const auto& [name, value] : whole.at(parent).items()) fields.push_back(parent / name);
+  };
+  for (const char* const parent : {"", "/learned", "/learned/servers/0", "/learned/servers/2",
+                                   "/learned/kinds/0", "/learned/classes/1"}) {
+    add(json::json_pointer(parent));
+  }
+  for (const auto& field : fields) {
+    SCOPED_TRACE(field.to_string());
+    json lacking = whole;
+    lacking.at(field.parent_pointer()).erase(field.back());
+    const bool may_be_missing = field.to_string() == "/edge";
+    EXPECT_EQ(ParseState(lacking.dump()).has_value(), may_be_missing);
+    json mistyped = whole;
+    mistyped.at(field) = json::object({{"other", "type"}});
+    EXPECT_FALSE(ParseState(mistyped.dump()));
+  }
+}
+
+// Guards the way between versions that know more: names that aren't known are passed over.
+TEST(HandoverFormat, PassesOverFieldsOfLaterVersions) {
+  json later = json::parse(StateFixture());
+  later["later"] = 1;
+  later["learned"]["later"] = {1, 2};
+  later["learned"]["servers"][0]["later"] = "x";
+  const auto state = ParseState(later.dump());
+  ASSERT_TRUE(state);
+  EXPECT_EQ(ToText(*state), StateFixture());
+}
+
+// ---- The messages on the link --------------------------------------------------------------------
+
+struct SocketPair {
+  SocketPair() {
+    int both[2] = {-1, -1};
+    EXPECT_EQ(::socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0, both), 0);
+    ours = Descriptor(both[0]);
+    theirs = Descriptor(both[1]);
+  }
+  Descriptor ours;
+  Descriptor theirs;
+};
+
+// One packet as it is on the link.
+struct Packet {
+  std::string bytes;
+  std::vector<int> descriptors;  // closed by ClosePacket
+};
+
+Packet ReceivePacket(int link) {
+  const timeval at_most{.tv_sec = 30, .tv_usec = 0};
+  EXPECT_EQ(::setsockopt(link, SOL_SOCKET, SO_RCVTIMEO, &at_most, sizeof at_most), 0);
+  std::vector<char> bytes(256 * 1024);
+  iovec part = {bytes.data(), bytes.size()};
+  alignas(cmsghdr) char control[CMSG_SPACE(8 * sizeof(int))] = {};
+  msghdr message{};
+  message.msg_iov = &part;
+  message.msg_iovlen = 1;
+  message.msg_control = control;
+  message.msg_controllen = sizeof control;
+  const ssize_t size = ::recvmsg(link, &message, 0);
+  Packet packet;
+  if (size > 0) packet.bytes.assign(bytes.data(), static_cast<std::size_t>(size));
+  const cmsghdr* const head = CMSG_FIRSTHDR(&message);
+  if (head == nullptr) return packet;
+  EXPECT_EQ(head->cmsg_level, SOL_SOCKET);
+  EXPECT_EQ(head->cmsg_type, SCM_RIGHTS);
+  packet.descriptors.resize((head->cmsg_len - CMSG_LEN(0)) / sizeof(int));
+  std::memcpy(packet.descriptors.data(), CMSG_DATA(head), head->cmsg_len - CMSG_LEN(0));
+  return packet;
+}
+
+void ClosePacket(const Packet& packet) {
+  for (const int descriptor : packet.descriptors) ::close(descriptor);
+}
+
+bool SameFile(int one, int other) {
+  struct stat first {};
+  struct stat second {};
+  return ::fstat(one, &first) == 0 && ::fstat(other, &second) == 0 && first.st_dev == second.st_dev &&
+         first.st_ino == second.st_ino;
+}
+
+struct KindOnTheLink {
+  Message::Kind kind;
+  char letter;
+};
+
+constexpr KindOnTheLink kKinds[] = {
+    {Message::Kind::kState, 'S'},  {Message::Kind::kEnd, 'E'},  {Message::Kind::kReady, 'R'},
+    {Message::Kind::kClient, 'C'}, {Message::Kind::kHost, 'H'}, {Message::Kind::kHeld, 'D'},
+    {Message::Kind::kOut, 'O'},    {Message::Kind::kBack, 'B'}, {Message::Kind::kDoor, 'L'},
+    {Message::Kind::kTunnel, 'T'},
+};
+
+// Guards the framing: a packet is the kind's letter and the text, nothing else, with the descriptors beside
+// it in their order.
+TEST(HandoverFormat, SendsALetterAndTheTextInOnePacket) {
+  const std::string text("a b\0c", 5);
+  for (const auto& [kind, letter] : kKinds) {
+    SCOPED_TRACE(letter);
+    SocketPair link;
+    SocketPair passed;
+    ASSERT_TRUE(SendMessage(link.ours.get(), kind, text));
+    ASSERT_TRUE(SendMessage(link.ours.get(), kind, "", passed.ours.get()));
+    ASSERT_TRUE(SendMessage(link.ours.get(), kind, text, passed.ours.get(), passed.theirs.get()));
+    const Packet plain = ReceivePacket(link.theirs.get());
+    EXPECT_EQ(plain.bytes, letter + text);
+    EXPECT_TRUE(plain.descriptors.empty());
+    const Packet with_one = ReceivePacket(link.theirs.get());
+    EXPECT_EQ(with_one.bytes, std::string(1, letter));
+    ASSERT_EQ(with_one.descriptors.size(), 1u);
+    EXPECT_TRUE(SameFile(with_one.descriptors[0], passed.ours.get()));
+    const Packet with_two = ReceivePacket(link.theirs.get());
+    EXPECT_EQ(with_two.bytes, letter + text);
+    ASSERT_EQ(with_two.descriptors.size(), 2u);
+    EXPECT_TRUE(SameFile(with_two.descriptors[0], passed.ours.get()));
+    EXPECT_TRUE(SameFile(with_two.descriptors[1], passed.theirs.get()));
+    ClosePacket(with_one);
+    ClosePacket(with_two);
+  }
+}
+
+// The same from the other side: what ff1d420 sends is read as what it means.
+TEST(HandoverFormat, ReadsALetterAndTheTextOfOnePacket) {
+  for (const auto& [kind, letter] : kKinds) {
+    SCOPED_TRACE(letter);
+    SocketPair link;
+    const std::string packet = letter + std::string("10.0.0.1:80 web 1");
+    ASSERT_EQ(::send(link.ours.get(), packet.data(), packet.size(), 0), static_cast<ssize_t>(packet.size()));
+    ASSERT_EQ(::send(link.ours.get(), &letter, 1, 0), 1);
+    bool ended = false;
+    const auto message = ReceiveMessage(link.theirs.get(), ended);
+    ASSERT_TRUE(message);
+    EXPECT_EQ(message->kind, kind);
+    EXPECT_EQ(message->text, "10.0.0.1:80 web 1");
+    EXPECT_FALSE(message->descriptor);
+    EXPECT_FALSE(message->second);
+    const auto empty = ReceiveMessage(link.theirs.get(), ended);
+    ASSERT_TRUE(empty);
+    EXPECT_EQ(empty->kind, kind);
+    EXPECT_EQ(empty->text, "");
+    EXPECT_FALSE(ReceiveMessage(link.theirs.get(), ended));
+    EXPECT_FALSE(ended);
+    link.ours = Descriptor();
+    EXPECT_FALSE(ReceiveMessage(link.theirs.get(), ended));
+    EXPECT_TRUE(ended);
+  }
+}
+
+TEST(HandoverFormat, TakesMessagesOfSeventyTwoKibibytes) { EXPECT_EQ(kMostMessage, 73728u); }
+
+// Guards the place where versions find each other.
+TEST(HandoverFormat, NamesTheSocketAfterTheListener) {
+  EXPECT_EQ(HandoverPath("/tmp/x", "127.0.0.1:8080"), "/tmp/x/meadowyard-127.0.0.1-8080");
+  EXPECT_EQ(HandoverPath("/run", "[::1]:80"), "/run/meadowyard-[--1]-80");
+  const std::string folder(100 - std::strlen("/meadowyard-a-1"), 'f');
+  EXPECT_EQ(HandoverPath(folder, "a:1").size(), 100u);
+  EXPECT_EQ(HandoverPath(folder + "f", "a:1"), "");
+}
+
+// ---- The course of messages ----------------------------------------------------------------------
+
+// What one process is told by the other one, a line each.
+struct Recorder {
+  Succession::Handlers Handlers() {
+    const auto note = [this](std::string line) { lines.push_back(std::move(line)); };
+    return {
+        .state = [this] { return state; },
+        .listener = [this] { return listener.get(); },
+        .held = [] { return std::size_t{7}; },
+        .succeeded = [note] { note("succeeded"); },
+        .abandoned = [note] { note("abandoned"); },
+        .others = [note](std::size_t count) { note("others " + std::to_string(count)); },
+        .client = [note](
+                      std::string_view unread,
+                      Descriptor socket) { note("client " + std::string(unread) + (socket ? " +1" : "")); },
+        .host =
+            [note](const std::string& host, const tcp::endpoint& address, Descriptor socket) {
+              note("host " + host + " at " + ToText(address) + (socket ? " +1" : ""));
+            },
+        .maintained = [note](const std::string& host, bool out) { note((out ? "out " : "back ") + host); },
+        .doors =
+            [this] {
+              return std::vector<std::pair<std::string, int>>{{"first", listener.get()},
+                                                              {"second", listener.get()}};
+            },
+        .tunnel =
+            [note](std::string_view text, Descriptor client, Descriptor host) {
+              note("tunnel " + std::string(text) + (client && host ? " +2" : ""));
+            }};
+  }
+  bool Wait(boost::asio::io_context& io, std::size_t count) const {
+    const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
+    while (lines.size() < count && std::chrono::steady_clock::now() < end) {
+      io.run_one_for(std::chrono::milliseconds(50));
+    }
+    return lines.size() >= count;
+  }
+
+  std::string state;
+  Descriptor listener{::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)};
+  std::vector<std::string> lines;
+};
+
+struct TemporaryFolder {
+  TemporaryFolder() {
+    char name[] = "/tmp/meadowyard-XXXXXX";
+    path = ::mkdtemp(name);
+  }
+  ~TemporaryFolder() {
+    std::remove(HandoverPath(path, "x").c_str());
+    ::rmdir(path.c_str());
+  }
+  std::string path;
+};
+
+Descriptor Connect(const std::string& path) {
+  Descriptor link(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
+  sockaddr_un address{};
+  address.sun_family = AF_UNIX;
+  std::memcpy(address.sun_path, path.data(), path.size());
+  EXPECT_EQ(::connect(link.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
+  return link;
+}
+
+void ExpectPacket(int link, const std::string& bytes, std::size_t descriptors) {
+  Packet packet = ReceivePacket(link);
+  EXPECT_EQ(packet.bytes.size(), bytes.size());
+  EXPECT_TRUE(packet.bytes == bytes) << packet.bytes.substr(0, 40);
+  EXPECT_EQ(packet.descriptors.size(), descriptors);
+  ClosePacket(packet);
+}
+
+void SendPacket(int link, const std::string& bytes) {
+  EXPECT_EQ(::send(link, bytes.data(), bytes.size(), 0), static_cast<ssize_t>(bytes.size()));
+}
+
+// Guards what the next version is sent, from its first call on.
+TEST(HandoverFormat, SendsTheNextVersionItsMessagesInOrder) {
+  boost::asio::io_context io;
+  TemporaryFolder folder;
+  Recorder recorder;
+  const std::string piece(kMostMessage, 's');
+  recorder.state = piece + piece + "rest";
+  const std::string path = HandoverPath(folder.path, "x");
+  Succession succession(io, path, Descriptor(), recorder.Handlers());
+  succession.Serve();
+  struct stat status {};
+  ASSERT_EQ(::stat(path.c_str(), &status), 0);
+  EXPECT_EQ(status.st_mode & 07777, 0600u);
+  const Descriptor link = Connect(path);
+  io.run_one_for(std::chrono::seconds(30));
+  ExpectPacket(link.get(), "S" + piece, 1);
+  ExpectPacket(link.get(), "S" + piece, 0);
+  ExpectPacket(link.get(), "Srest", 0);
+  ExpectPacket(link.get(), "Lfirst", 1);
+  ExpectPacket(link.get(), "Lsecond", 1);
+  ExpectPacket(link.get(), "E", 0);
+  SendPacket(link.get(), "R");
+  ASSERT_TRUE(recorder.Wait(io, 1));
+  EXPECT_EQ(recorder.lines[0], "succeeded");
+  ExpectPacket(link.get(), "D7", 0);
+  const SocketPair passed;
+  EXPECT_TRUE(succession.PassClient(passed.ours.get(), "GET / HT"));
+  EXPECT_TRUE(succession.PassHost("web 1", Address("10.0.0.1", 80), passed.ours.get()));
+  EXPECT_TRUE(succession.PassTunnel("{\"a\":1}", passed.ours.get(), passed.theirs.get()));
+  succession.Maintained("web-1", true);
+  succession.Maintained("web-1", false);
+  ExpectPacket(link.get(), "CGET / HT", 1);
+  ExpectPacket(link.get(), "H10.0.0.1:80 web 1", 1);
+  ExpectPacket(link.get(), "T{\"a\":1}", 2);
+  ExpectPacket(link.get(), "Oweb-1", 0);
+  ExpectPacket(link.get(), "Bweb-1", 0);
+  SendPacket(link.get(), "Oweb-2");
+  SendPacket(link.get(), "Bweb-2");
+  ASSERT_TRUE(recorder.Wait(io, 3));
+  EXPECT_EQ(recorder.lines[1], "out web-2");
+  EXPECT_EQ(recorder.lines[2], "back web-2");
+}
+
+// Guards what is read of the version before, and what that one is sent.
+TEST(HandoverFormat, FollowsTheMessagesOfTheVersionBefore) {
+  boost::asio::io_context io;
+  Recorder recorder;
+  SocketPair link;
+  Succession succession(io, "", std::move(link.theirs), recorder.Handlers());
+  succession.Serve();
+  ExpectPacket(link.ours.get(), "R", 0);
+  succession.Maintained("web-1", true);
+  succession.Maintained("web-1", false);
+  ExpectPacket(link.ours.get(), "Oweb-1", 0);
+  ExpectPacket(link.ours.get(), "Bweb-1", 0);
+  for (const char* const packet : {"D321", "Oweb-2", "Bweb-2", "Znever heard of", "Hno-space", "D0"}) {
+    SendPacket(link.ours.get(), packet);
+  }
+  const SocketPair passed;
+  ASSERT_TRUE(SendMessage(link.ours.get(), Message::Kind::kClient, "GET /", passed.ours.get()));
+  ASSERT_TRUE(SendMessage(link.ours.get(), Message::Kind::kHost, "[::1]:80 web 1", passed.ours.get()));
+  ASSERT_TRUE(SendMessage(link.ours.get(), Message::Kind::kHost, "10.0.0.1:80 web 1", passed.ours.get()));
+  ASSERT_TRUE(
+      SendMessage(link.ours.get(), Message::Kind::kTunnel, "{}", passed.ours.get(), passed.theirs.get()));
+  link.ours = Descriptor();
+  ASSERT_TRUE(recorder.Wait(io, 8));
+  const std::vector<std::string> expected = {"others 321",      "out web-2",
+                                             "back web-2",      "others 0",
+                                             "client GET / +1", "host web 1 at 10.0.0.1:80 +1",
+                                             "tunnel {} +2",    "others 0"};
+  EXPECT_EQ(recorder.lines, expected);
+}
+
+}  // namespace
+}  // namespace meadowyard::testing
