--- a/src/operations/state_text.cpp
+++ b/src/operations/state_text.cpp
@@ -1,21 +1,67 @@
 #include "operations/state_text.hpp"
 
 #include <nlohmann/json.hpp>
+#include <tuple>
+
+#include "operations/stored_record.hpp"
 
 namespace meadowyard {
 
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Recollection::OfServer, id, latency, steady, base, limit, failing, samples,
-                                   suspect, lost, last_served, cold_since, cold_credit)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Recollection::OfKind, name, latency, steady, base, samples)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Recollection::OfClass, name, latency, most_left, samples)
-NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(Recollection, servers, kinds, classes, out_by_hand, rate, spent_rate,
-                                   arriving, failing, unserved, warm_served, warm_time, mean_latency, samples)
+using nlohmann::json;
 
-}  // namespace meadowyard
+template <>
+struct StoredForm<Recollection::OfServer> {
+  using Record = Recollection::OfServer;
+  static constexpr std::tuple kFields{
+      StoredField{"id", &Record::id},
+      StoredField{"latency", &Record::latency},
+      StoredField{"steady", &Record::steady},
+      StoredField{"base", &Record::base},
+      StoredField{"limit", &Record::limit},
+      StoredField{"failing", &Record::failing},
+      StoredField{"samples", &Record::samples},
+      StoredField{"suspect", &Record::suspect},
+      StoredField{"lost", &Record::lost},
+      StoredField{"last_served", &Record::last_served},
+      StoredField{"cold_since", &Record::cold_since},
+      StoredField{"cold_credit", &Record::cold_credit},
+  };
+};
 
-namespace meadowyard {
+template <>
+struct StoredForm<Recollection::OfKind> {
+  using Record = Recollection::OfKind;
+  static constexpr std::tuple kFields{
+      StoredField{"name", &Record::name},       StoredField{"latency", &Record::latency},
+      StoredField{"steady", &Record::steady},   StoredField{"base", &Record::base},
+      StoredField{"samples", &Record::samples},
+  };
+};
 
-using nlohmann::json;
+template <>
+struct StoredForm<Recollection::OfClass> {
+  using Record = Recollection::OfClass;
+  static constexpr std::tuple kFields{
+      StoredField{"name", &Record::name},
+      StoredField{"latency", &Record::latency},
+      StoredField{"most_left", &Record::most_left},
+      StoredField{"samples", &Record::samples},
+  };
+};
+
+template <>
+struct StoredForm<Recollection> {
+  using Record = Recollection;
+  static constexpr std::tuple kFields{
+      StoredField{"servers", &Record::servers},     StoredField{"kinds", &Record::kinds},
+      StoredField{"classes", &Record::classes},     StoredField{"out_by_hand", &Record::out_by_hand},
+      StoredField{"rate", &Record::rate},           StoredField{"spent_rate", &Record::spent_rate},
+      StoredField{"arriving", &Record::arriving},   StoredField{"failing", &Record::failing},
+      StoredField{"unserved", &Record::unserved},   StoredField{"warm_served", &Record::warm_served},
+      StoredField{"warm_time", &Record::warm_time}, StoredField{"mean_latency", &Record::mean_latency},
+      StoredField{"samples", &Record::samples},
+  };
+};
 
 std::string ToText(const GatewayState& state) {
   const json whole = {{"file", state.file},
