--- a/tests/run_all.sh
+++ b/tests/run_all.sh
@@ -12,27 +12,52 @@
 step "lint"
 bash tests/lint.sh
 # shellcheck disable=SC2086
+ls -d $policy >/dev/null  # each of them is there
+# shellcheck disable=SC2086
 if grep -rnE '^.{111,}' $policy; then echo "decision module: lines of more than 110 characters"; exit 1; fi
 
-step "build by deploy/balancer.toml, the tests beside it"
+# Two builds at a time, for together they keep eight cores busy to the end. What the one in the background says
+# is printed when it has ended.
+step "build by deploy/balancer.toml, the tests beside it; meanwhile the build with sanitizers"
+work=$(mktemp -d)
+sanitize_build=
+finish() {
+  if [ -n "$sanitize_build" ]; then
+    kill -- "-$sanitize_build" 2>/dev/null || true
+    cat "$work/sanitize.log"
+  fi
+  rm -rf "$work"
+}
+trap finish EXIT
+build_with_sanitizers() {
+  cmake -B build-sanitize -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS=-O0 -DMEADOWYARD_TESTS=ON -DMEADOWYARD_SANITIZE=ON >/dev/null
+  cmake --build build-sanitize -j4
+}
+set -m  # a process group of its own, to be ended as one
+build_with_sanitizers >"$work/sanitize.log" 2>&1 &
+sanitize_build=$!
+set +m
 cmake -B build -DCMAKE_BUILD_TYPE=Release -DMEADOWYARD_TESTS=ON >/dev/null
 bash -c "$(setting build)"
 
+step "build with the address and undefined-behaviour sanitizers"
+status=0
+wait "$sanitize_build" || status=$?
+sanitize_build=
+cat "$work/sanitize.log"
+test "$status" -eq 0
+
 step "tests, Release"
 ctest --test-dir build --output-on-failure -j"$(nproc)"
 
 step "tests, address and undefined-behaviour sanitizers"
-cmake -B build-sanitize -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS=-O0 -DMEADOWYARD_TESTS=ON -DMEADOWYARD_SANITIZE=ON >/dev/null
-cmake --build build-sanitize -j"$(nproc)"
 ctest --test-dir build-sanitize --output-on-failure -j"$(nproc)"
 
 step "consumer example against an installed copy"
-prefix=$(mktemp -d)
-trap 'rm -rf "$prefix"' EXIT
-cmake --install build --prefix "$prefix/root" >/dev/null
-cmake -S examples/consumer -B "$prefix/consumer" -DCMAKE_PREFIX_PATH="$prefix/root" >/dev/null
-cmake --build "$prefix/consumer"
-test "$("$prefix/consumer/consumer" | tail -1)" = served
+cmake --install build --prefix "$work/root" >/dev/null
+cmake -S examples/consumer -B "$work/consumer" -DCMAKE_PREFIX_PATH="$work/root" >/dev/null
+cmake --build "$work/consumer"
+test "$("$work/consumer/consumer" | tail -1)" = served
 
 step "adapter by deploy/balancer.toml"
 bash tests/adapter.sh "$(setting sim)"
