--- /dev/null
+++ b/tests/coordination/message_fixtures_test.cpp
@@ -0,0 +1,158 @@
+// Messages between gateways, as the program of commit ff1d420 wrote them. Gateways of both versions run side
+// by side during an upgrade: each message must still be read, and be written byte by byte as before.
+//
+// tests/fixtures/ff1d420/coordination_messages.txt holds one message a line: its name and its bytes in hex.
+// The file is never written anew; a new kind of message gets a fixture of its own version.
+#include <gtest/gtest.h>
+
+#include <cstdint>
+#include <cstdio>
+#include <fstream>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "duties/words.hpp"
+
+namespace meadowyard::testing {
+namespace {
+
+using Bytes = std::vector<std::uint8_t>;
+
+std::string ToHex(const Bytes& bytes) {
+  std::string text;
+  for (const std::uint8_t byte : bytes) {
+    char digits[3];
+    std::snprintf(digits, sizeof digits, "%02x", byte);
+    text += digits;
+  }
+  return text;
+}
+
+Bytes FromHex(const std::string& text) {
+  Bytes bytes;
+  for (std::size_t i = 0; i + 1 < text.size(); i += 2) {
+    bytes.push_back(static_cast<std::uint8_t>(std::stoi(text.substr(i, 2), nullptr, 16)));
+  }
+  return bytes;
+}
+
+std::map<std::string, Bytes> RecordedMessages() {
+  std::map<std::string, Bytes> recorded;
+  std::ifstream file(MEADOWYARD_FIXTURES "/ff1d420/coordination_messages.txt");
+  std::string name, hex;
+  while (file >> name >> hex) recorded[name] = FromHex(hex);
+  return recorded;
+}
+
+Host MakeHost(const std::string& id, ServerState state) {
+  Host host;
+  host.server.id = id;
+  host.server.zone = "north";
+  host.server.kind = "large";
+  host.server.cell = "7";
+  host.server.state = state;
+  host.server.weight = 1.5;
+  host.server.started_at = 1234567.25;
+  host.address = *ParseEndpoint("10.1.0.18:3000");
+  return host;
+}
+
+ListPart MakeListPart(bool complete) {
+  ListPart part;
+  part.token = 77825;
+  part.revision = 4711;
+  part.after = 4709;
+  part.complete = complete;
+  part.part = 1;
+  part.parts = 3;
+  part.hosts = {MakeHost("host-1", ServerState::kUp), MakeHost("host-2", ServerState::kDraining),
+                MakeHost("host-3", ServerState::kGone)};
+  return part;
+}
+
+ListPart MakeRevisionOnly() {
+  ListPart part;
+  part.token = 77825;
+  part.revision = 4711;
+  part.after = 4711;
+  return part;
+}
+
+Lease::Word MakeLeaseWord(Lease::Word::Kind kind, Token seen, int holder) {
+  Lease::Word word;
+  word.kind = kind;
+  word.token = 5000000257;
+  word.seen = seen;
+  word.holder = holder;
+  return word;
+}
+
+ZonesWord MakeZonesWord(ZonesWord::Kind kind, Token token) {
+  ZonesWord word;
+  word.kind = kind;
+  word.token = token;
+  word.state.term = 66049;
+  word.state.version = 12;
+  word.state.zones = {{"north", 1, 12.5, 433.25}, {"south", 0.30000000000000004, 8, 0}, {"", 0, 0, 1e-3}};
+  return word;
+}
+
+struct Sample {
+  std::string name;
+  Duty duty = Duty::kList;
+  DutyWord word;
+};
+
+std::vector<Sample> Samples() {
+  using Kind = Lease::Word::Kind;
+  return {
+      {"lease_ask", Duty::kList, MakeLeaseWord(Kind::kAsk, 0, -1)},
+      {"lease_promise_open", Duty::kList, MakeLeaseWord(Kind::kPromise, 0, -1)},
+      {"lease_promise_held", Duty::kZones, MakeLeaseWord(Kind::kPromise, 0, 2)},
+      {"lease_offer", Duty::kZones, MakeLeaseWord(Kind::kOffer, 0, 1)},
+      {"lease_taken", Duty::kList, MakeLeaseWord(Kind::kTaken, 0, 1)},
+      {"lease_no", Duty::kZones, MakeLeaseWord(Kind::kNo, 5000000513, -1)},
+      {"list_part_of_a_delta", Duty::kList, MakeListPart(false)},
+      {"list_part_of_a_snapshot", Duty::kList, MakeListPart(true)},
+      {"list_revision_only", Duty::kList, MakeRevisionOnly()},
+      {"list_wanted", Duty::kList, ListWanted{77825}},
+      {"zones_offer", Duty::kZones, MakeZonesWord(ZonesWord::Kind::kOffer, 66049)},
+      {"zones_agreed", Duty::kZones, MakeZonesWord(ZonesWord::Kind::kAgreed, 66305)},
+      {"zones_known", Duty::kZones, MakeZonesWord(ZonesWord::Kind::kKnown, 0)},
+      {"zones_vote", Duty::kZones, ZonesVote{66049, 12}},
+  };
+}
+
+TEST(MessageFixtures, OldMessageReadAndWrittenAgainHasTheSameBytes) {
+  const auto recorded = RecordedMessages();
+  ASSERT_EQ(recorded.size(), Samples().size());
+  for (const auto& [name, bytes] : recorded) {
+    const auto read = ParseDutyWord(bytes.data(), bytes.size());
+    ASSERT_TRUE(read) << name;
+    EXPECT_EQ(read->from, "gateway-1") << name;
+    EXPECT_EQ(ToHex(ToBytes(read->from, read->duty, read->word)), ToHex(bytes)) << name;
+  }
+}
+
+TEST(MessageFixtures, MessageIsWrittenAsTheOldProgramWroteIt) {
+  auto recorded = RecordedMessages();
+  for (const Sample& sample : Samples()) {
+    const Bytes bytes = ToBytes("gateway-1", sample.duty, sample.word);
+    EXPECT_EQ(ToHex(bytes), ToHex(recorded[sample.name])) << sample.name;
+  }
+}
+
+TEST(MessageFixtures, OldMessageHasItsRoleAndItsKind) {
+  auto recorded = RecordedMessages();
+  for (const Sample& sample : Samples()) {
+    const Bytes& bytes = recorded[sample.name];
+    const auto read = ParseDutyWord(bytes.data(), bytes.size());
+    ASSERT_TRUE(read) << sample.name;
+    EXPECT_EQ(read->duty, sample.duty) << sample.name;
+    EXPECT_EQ(read->word.index(), sample.word.index()) << sample.name;
+  }
+}
+
+}  // namespace
+}  // namespace meadowyard::testing
