--- a/tests/lint.sh
+++ b/tests/lint.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
 # Checks the text of the project, before anything is built: the format, the shell scripts, withdrawn words, the form
-# of lint exceptions, and clang-tidy over all finished packages.
+# of lint exceptions, includes across packages, and clang-tidy over all finished packages.
 #
 #   lint.sh                      check
 #   lint.sh --count PACKAGE...   clang-tidy findings of packages, finished or not: "PACKAGE FINDINGS" for each
@@ -73,6 +73,30 @@
     { echo "an exception must read: NOLINT(check-name): reason"; return 1; }
 }
 
+# A package includes only from the packages that it uses in CMakeLists.txt, or that these use.
+check_includes() {
+  {
+    tr '\n' ' ' <CMakeLists.txt | grep -oE '(meadowyard_package|target_link_libraries)\([^)]*\)' |
+      sed -E 's/^[a-z_]+\(//; s/\)$//; s/ (USES|INTERFACE|PUBLIC) / /; s/^/uses /'
+    for package in $(packages); do
+      grep -nE '^#include "[^"]+/[^"]+"' "$package"/*.?pp /dev/null |
+        sed -E 's@^([^:]+:[0-9]+):#include "(.*)/[^/]*"@include '"${package#src/}"' \2 \1@' || true
+    done
+  } | awk '
+    function target(folder) { gsub("/", "_", folder); return folder ~ /^meadowyard/ ? folder : "meadowyard_" folder }
+    function reaches(from, to,   i, next_target) {
+      if (from == to) return 1
+      for (i = 1; i <= count[from]; i++) if (reaches(uses[from, i], to)) return 1
+      return 0
+    }
+    $1 == "uses" { for (i = 3; i <= NF; i++) uses[target($2), ++count[target($2)]] = $i }
+    $1 == "include" && $2 !~ /^(tests|include)/ {
+      included = $3 == "meadowyard" ? "meadowyard_decision" : target($3)
+      if (!reaches(target($2), included)) { print $4 ": " $2 " does not use " $3 " in CMakeLists.txt"; failed = 1 }
+    }
+    END { exit failed }'
+}
+
 check_pending() {
   local count
   count=$(entries | wc -l)
@@ -100,6 +124,7 @@
     step "shell scripts"; check_scripts
     step "withdrawn words"; bash tests/terms.sh
     step "lint exceptions"; check_exceptions
+    step "includes across packages"; check_includes
     step "pending packages"; check_pending
     step "clang-tidy"; check_tidy
     echo "lint: $SECONDS s"
