--- a/src/app/edge_service.cpp
+++ b/src/app/edge_service.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "app/decision_log.hpp"
 #include "log/log.hpp"
 
 namespace meadowyard {
@@ -13,12 +14,12 @@
   Settings s = platform;
   s.classes = {config.tunnel};
   s.tenants.clear();
-  s.ask_for_list = false;
-  s.most_out = 0;
-  s.most_held = config.limits.most_per_host;
-  s.report_fields.clear();
-  s.warm_keys = false;
-  s.may_cancel = true;
+  s.polls_endpoints = false;
+  s.max_attempts_in_flight = 0;
+  s.max_tunnels_per_endpoint = config.limits.most_per_host;
+  s.load_report_fields.clear();
+  s.key_affinity = false;
+  s.can_cancel_attempts = true;
   return s;
 }
 
@@ -39,19 +40,15 @@
 struct EdgeService::Pool {
   Pool(boost::asio::io_context& io, Clock& clock, const Settings& settings, std::uint64_t seed,
        TunnelDialer::Times times)
-      : dialer(io, times, [this](const std::string& host) { return core.policy().may_use(host); }),
-        core(clock, settings, seed, dialer,
-             {[] {},
-              [](const std::string& text) {
-                LogEvent(LogLevel::kInfo, "decision", {{"text", text}});
-              }}) {}
+      : dialer(io, times, [this](const std::string& host) { return core.policy().IsEligible(host); }),
+        core(clock, settings, seed, dialer, {[] {}, [](const Log& entry) { LogDecision(entry); }}) {}
 
   void Update(const EdgePool& spec) {
     dialer.SetParent(AccessOf(spec.parent));
     const HostList list = ListOf(spec);
     dialer.Update(list);
-    ServerNews news;
-    for (const Host& host : list.hosts) news.servers.push_back(host.server);
+    EndpointUpdate news;
+    for (const Host& host : list.hosts) news.endpoints.push_back(host.server);
     core.Report(std::move(news));
   }
 
@@ -84,13 +81,13 @@
   const bool used = std::any_of(config.pools.begin(), config.pools.end(),
                                 [](const EdgePool& pool) { return pool.discovered; });
   const bool taken = std::any_of(settings.classes.begin(), settings.classes.end(),
-                                 [&](const ClassSettings& c) { return c.name == config.tunnel.name; });
+                                 [&](const TrafficClassSettings& c) { return c.name == config.tunnel.name; });
   if (taken) {
     throw EdgeError(config.path + ": tunnels.class: '" + config.tunnel.name +
                     "' is a class of the platform's settings");
   }
   if (used) settings.classes.push_back(config.tunnel);
-  if (used) settings.most_held = config.limits.most_per_host;
+  if (used) settings.max_tunnels_per_endpoint = config.limits.most_per_host;
   return settings;
 }
 
@@ -155,7 +152,7 @@
             Gateway* const core = CoreOf(pool);
             if (core == nullptr) return "gone";
             if (core == fleet_.core) return fleet_.unusable(host);
-            if (core->policy().may_use(host)) return "";
+            if (core->policy().IsEligible(host)) return "";
             const EdgePool* const spec = config_->FindPool(pool);
             const bool listed =
                 spec != nullptr && std::any_of(spec->hosts.begin(), spec->hosts.end(),
@@ -180,16 +177,16 @@
 
 bool EdgeService::Knows(const std::string& host) const {
   return std::any_of(pools_.begin(), pools_.end(),
-                     [&](const auto& entry) { return entry.second->core.policy().knows(host); });
+                     [&](const auto& entry) { return entry.second->core.policy().IsKnown(host); });
 }
 
 void EdgeService::Maintained(const std::string& host, bool out) {
   for (auto& [name, pool] : pools_) {
-    if (!pool->core.policy().knows(host)) continue;
+    if (!pool->core.policy().IsKnown(host)) continue;
     if (out) {
-      pool->core.Report(ServerOut{host});
+      pool->core.Report(MaintenanceStarted{host});
     } else {
-      pool->core.Report(ServerBack{host});
+      pool->core.Report(MaintenanceEnded{host});
     }
   }
   front_.HostsChanged();
--- a/src/app/peer_service.cpp
+++ b/src/app/peer_service.cpp
@@ -19,14 +19,14 @@
   if (!peers_) return;
   Close();  // first: its address is free then
   if (peers_->share_list) ShareList();
-  if (peers_->locality.on) ShareZones();
+  if (peers_->locality.enabled) ShareZones();
   link_.emplace(
       io_, *peers_,
       PeerLink::Handlers{handlers_.gossip, handlers_.news,
                          [this](int from, Duty duty, const DutyWord& word) { Heard(from, duty, word); },
                          [this](double chance) { Beat(chance); },
                          [this] { return zones_ ? std::optional(handlers_.sights()) : std::nullopt; },
-                         [this](int from, const Sights& sights) {
+                         [this](int from, const ZoneLoadReport& sights) {
                            if (zones_) zones_->See(Now(), from, sights);
                          }});
 }
@@ -102,11 +102,11 @@
   if (zones_) zones_->Stopping();
 }
 
-std::optional<std::string> PeerService::Status(const Policy::Census& census) const {
+std::optional<std::string> PeerService::Status(const Policy::Stats& census) const {
   if (!link_) return std::nullopt;
   nlohmann::json status = link_->Status();
-  status["shared_among"] = census.sharers;
-  status["hosts_used"] = census.used;
+  status["shared_among"] = census.active_gateways;
+  status["hosts_used"] = census.subset;
   if (duty_) status["list"] = duty_->Status(Now());
   if (zones_) status["zones"] = zones_->Status(Now());
   return status.dump();
--- a/src/app/peer_service.hpp
+++ b/src/app/peer_service.hpp
@@ -19,11 +19,11 @@
  public:
   struct Handlers {
     std::function<Gossip()> gossip;
-    std::function<void(PeerNews)> news;
-    std::function<HostList()> whole;     // the list of hosts as it stands here
-    std::function<void(HostList)> told;  // of it, by a peer
-    std::function<Sights()> sights;      // of the zones
-    std::function<void(const ZonesAgreed&)> agreed;
+    std::function<void(MembershipUpdate)> news;
+    std::function<HostList()> whole;         // the list of hosts as it stands here
+    std::function<void(HostList)> told;      // of it, by a peer
+    std::function<ZoneLoadReport()> sights;  // of the zones
+    std::function<void(const ZoneAgreement&)> agreed;
   };
   // Without a file there are no peers.
   PeerService(boost::asio::io_context& io, Discovery& discovery, Handlers handlers);
@@ -42,7 +42,7 @@
   void Moving(const boost::asio::ip::tcp::endpoint& address);
   void Stopping();
   // For operators: what was heard, and what is made of it. Nothing without peers.
-  std::optional<std::string> Status(const Policy::Census& census) const;
+  std::optional<std::string> Status(const Policy::Stats& census) const;
 
  private:
   void ShareList();
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -4,6 +4,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
+#include "app/decision_log.hpp"
 #include "app/memory_reserve.hpp"
 #include "core/clock.hpp"
 #include "log/log.hpp"
@@ -39,10 +40,10 @@
   return limits;
 }
 
-ServerNews ToNews(const HostList& list) {
-  ServerNews news;
-  news.kind = list.complete ? ServerNews::Kind::kFull : ServerNews::Kind::kDelta;
-  for (const Host& host : list.hosts) news.servers.push_back(host.server);
+EndpointUpdate ToNews(const HostList& list) {
+  EndpointUpdate news;
+  news.kind = list.complete ? EndpointUpdate::Kind::kSnapshot : EndpointUpdate::Kind::kDelta;
+  for (const Host& host : list.hosts) news.endpoints.push_back(host.server);
   return news;
 }
 
@@ -59,35 +60,33 @@
       budget_(ShareOut(MeansOf(config, edge_file_.get()), others_)),
       pause_(io, {[this](Millis since) { return discovery_.AskAnew(since); }, [this] { hosts_.Resume(); }}),
       hosts_(io, {config.dial_timeout, config.idle_timeout, budget_.host_connections},
-             {[this](const std::string& host) { return core_.policy().may_use(host); },
+             {[this](const std::string& host) { return core_.policy().IsEligible(host); },
               [this] { return pause_.Current(); }}),
       dialer_(io, {config.dial_timeout, 0},
-              [this](const std::string& host) { return core_.policy().may_use(host); }),
+              [this](const std::string& host) { return core_.policy().IsEligible(host); }),
       upstream_(hosts_, dialer_),
       core_(clock_, Fitted(), config.seed, upstream_,
-            {[this] { peers_.Watch(); },
-             [](const std::string& text) {
-               LogEvent(LogLevel::kInfo, "decision", {{"text", text}});
-             }}),
+            {[this] { peers_.Watch(); }, [](const Log& entry) { LogDecision(entry); }}),
       discovery_(io, config.discovery,
                  !state                  ? std::optional(config.known.revision)
                  : state->revision_known ? std::optional(state->hosts.revision)
                                          : std::nullopt,
                  {[this](const HostList& list) { ToldByDiscovery(list); }, [this] { ListFailed(); }}),
-      peers_(io, discovery_,
-             {[this] { return core_.policy().gossip(); },
-              [this](PeerNews news) { core_.Report(std::move(news)); }, [this] { return WholeList(); },
-              [this](const HostList& list) { Told(list); }, [this] { return core_.policy().sights(); },
-              [this](const ZonesAgreed& zones) { core_.Report(zones); }}),
+      peers_(
+          io, discovery_,
+          {[this] { return core_.policy().CollectGossip(); },
+           [this](MembershipUpdate news) { core_.Report(std::move(news)); }, [this] { return WholeList(); },
+           [this](const HostList& list) { Told(list); }, [this] { return core_.policy().CollectZoneLoad(); },
+           [this](const ZoneAgreement& zones) { core_.Report(zones); }}),
       stop_(io),
       ask_again_(io),
       clients_(io,
                {config.listen, config.admin.has_value(), inheritance ? inheritance->listener.release() : -1},
                LimitsFor(budget_),
                {[this] { return listed_ && !stopping_; }, &MemoryReserve::Whole,
-                [this](const std::string& name, Effect effect) {
+                [this](const std::string& name, Idempotency effect) {
                   // Requests are never of the tunnels' class.
-                  if (edge_file_ && name == edge_file_->tunnel.name) return Policy::Admission::kNoClass;
+                  if (edge_file_ && name == edge_file_->tunnel.name) return Policy::Admission::kUnknownClass;
                   return core_.Admits(name, effect);
                 },
                 [this](ClientRequest request) { core_.Take(std::move(request)); },
@@ -106,17 +105,17 @@
         io, *config.admin, AdminServer::Limits(),
         AdminServer::Handlers{
             [this] { return listed_ && !stopping_; },
-            [this] { return core_.figures().ToJson(core_.policy().census()); },
+            [this] { return core_.figures().ToJson(core_.policy().CollectStats()); },
             [this](const std::string& host, bool out) { return Maintain(host, out); },
             [this] { return edge_ ? std::optional(edge_->front().Status().dump()) : std::nullopt; },
             [this](std::uint64_t id) { return edge_ && edge_->front().CloseOne(id); },
-            [this] { return peers_.Status(core_.policy().census()); }});
+            [this] { return peers_.Status(core_.policy().CollectStats()); }});
     succession_.emplace(io, config.handover, inheritance ? std::move(inheritance->link) : Descriptor(),
                         SuccessionHandlers());
   }
   Told(state ? state->hosts : config.known);
   if (state) core_.Report(std::move(state->learned));
-  if (!settings_.ask_for_list) peers_.Watch();
+  if (!settings_.polls_endpoints) peers_.Watch();
 }
 
 Succession::Handlers Service::SuccessionHandlers() {
@@ -146,7 +145,7 @@
   state.revision_known = discovery_.revision().has_value();
   state.hosts.revision = discovery_.revision().value_or(0);
   for (const auto& [id, host] : list_) state.hosts.hosts.push_back(host);
-  state.learned = core_.policy().recall();
+  state.learned = core_.policy().Snapshot();
   if (edge_) state.edge = edge_->config().text;
   state.descriptors = clients_.sessions() + hosts_.connections() + kOwnSockets;
   return ToText(state);
@@ -214,9 +213,9 @@
 Settings Service::Fitted() const {
   // The module is told how many attempts there are descriptors for.
   Settings settings = edge_file_ ? EdgeService::WithTunnels(settings_, *edge_file_) : settings_;
-  settings.most_out = static_cast<int>(budget_.host_connections);
-  settings.subset = subset_;
-  settings.locality = locality_;
+  settings.max_attempts_in_flight = static_cast<int>(budget_.host_connections);
+  settings.subset_size = subset_;
+  settings.zone_routing = locality_;
   return settings;
 }
 
@@ -226,10 +225,10 @@
 }
 
 std::string Service::Unusable(const std::string& host) const {
-  if (core_.policy().may_use(host)) return "";
+  if (core_.policy().IsEligible(host)) return "";
   const auto listed = list_.find(host);
   if (listed == list_.end()) return "gone";
-  return listed->second.server.state == ServerState::kDraining ? "draining" : "out by hand";
+  return listed->second.server.state == EndpointState::kDraining ? "draining" : "out by hand";
 }
 
 void Service::ReloadEdge(std::shared_ptr<const EdgeConfig> edge) {
@@ -242,7 +241,7 @@
 }
 
 bool Service::Maintain(const std::string& host, bool out) {
-  if (!core_.policy().knows(host) && !(edge_ && edge_->Knows(host))) return false;
+  if (!core_.policy().IsKnown(host) && !(edge_ && edge_->Knows(host))) return false;
   Maintained(host, out);
   succession_->Maintained(host, out);
   return true;
@@ -250,10 +249,10 @@
 
 void Service::Maintained(const std::string& host, bool out) {
   if (out) {
-    core_.Report(ServerOut{host});
+    core_.Report(MaintenanceStarted{host});
     hosts_.Rest(host);
   } else {
-    core_.Report(ServerBack{host});
+    core_.Report(MaintenanceEnded{host});
   }
   if (edge_) edge_->Maintained(host, out);
 }
@@ -263,7 +262,7 @@
   dialer_.Update(list);
   if (list.complete) list_.clear();
   for (const Host& host : list.hosts) {
-    if (host.server.state == ServerState::kGone) {
+    if (host.server.state == EndpointState::kRemoved) {
       list_.erase(host.server.id);
     } else {
       list_[host.server.id] = host;
@@ -277,8 +276,8 @@
 
 void Service::ListFailed() {
   peers_.Failed();
-  core_.Report(ServerNews{ServerNews::Kind::kFailed, {}});
-  if (settings_.ask_for_list) return;  // the policy says when to ask again
+  core_.Report(EndpointUpdate{EndpointUpdate::Kind::kFailed, {}});
+  if (settings_.polls_endpoints) return;  // the policy says when to ask again
   ask_again_.expires_after(Span(kAskAgain));
   ask_again_.async_wait([this](error_code ec) {
     if (!ec) peers_.Watch();
@@ -288,7 +287,7 @@
 // SIGKILL comes 700 ms after the longest deadline, which counts as 3 s where it is longer.
 void Service::Stop(std::function<void()> done) {
   Millis longest = 0;
-  for (const ClassSettings& c : settings_.classes) longest = std::max(longest, c.deadline);
+  for (const TrafficClassSettings& c : settings_.classes) longest = std::max(longest, c.deadline);
   const Millis sooner = 3000 - std::min(3000.0, longest);
   StopTimes times;
   times.answer = std::max(times.accept, times.answer - sooner);
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -95,7 +95,7 @@
   std::size_t others_ = 0;                       // descriptors that the process before this one holds
   // Where there are peers; before the core, which is told of them.
   int subset_ = 0;  // hosts that each gateway uses
-  Locality locality_;
+  ZoneRoutingSettings locality_;
   Budget budget_;
   PauseWatch pause_;
   HostPool hosts_;
--- a/src/core/figures.cpp
+++ b/src/core/figures.cpp
@@ -9,9 +9,9 @@
 
 }  // namespace
 
-void Figures::Know(const std::vector<ClassSettings>& classes) {
+void Figures::Know(const std::vector<TrafficClassSettings>& classes) {
   for (auto& [name, counts] : classes_) counts.known = false;
-  for (const ClassSettings& c : classes) classes_[c.name].known = true;
+  for (const TrafficClassSettings& c : classes) classes_[c.name].known = true;
   for (auto it = classes_.begin(); it != classes_.end() && classes_.size() > kMostClasses;) {
     it = it->second.known ? std::next(it) : classes_.erase(it);
   }
@@ -30,7 +30,7 @@
   ++classes_[class_name].sends;
 }
 
-std::string Figures::ToJson(const Policy::Census& hosts) const {
+std::string Figures::ToJson(const Policy::Stats& hosts) const {
   nlohmann::json classes = nlohmann::json::object();
   for (const auto& [name, c] : classes_) {
     classes[name] = {
@@ -39,8 +39,8 @@
   const nlohmann::json figures = {{"transactions", std::move(classes)},
                                   {"sends", sends_},
                                   {"current", current_},
-                                  {"cluster_size", hosts.listed},
-                                  {"cluster_unhealthy", hosts.avoided},
+                                  {"cluster_size", hosts.endpoints},
+                                  {"cluster_unhealthy", hosts.unavailable},
                                   {"conf_loaded", loaded_},
                                   {"conf_invalid", invalid_}};
   // Names come from a file: what is no UTF-8 in them must not keep the figures back.
--- a/src/core/figures.hpp
+++ b/src/core/figures.hpp
@@ -18,7 +18,7 @@
   enum class End { kAnswered, kDeferred, kErrored, kLeft };
 
   // The classes that are shown though nothing was asked of them yet.
-  void Know(const std::vector<ClassSettings>& classes);
+  void Know(const std::vector<TrafficClassSettings>& classes);
 
   void Taken() { ++current_; }
   // `taken`: whether the request was counted as taken before.
@@ -28,7 +28,7 @@
   // A file was taken, or turned down, at SIGHUP.
   void Configured(bool taken) { ++(taken ? loaded_ : invalid_); }
 
-  std::string ToJson(const Policy::Census& hosts) const;
+  std::string ToJson(const Policy::Stats& hosts) const;
 
  private:
   struct Counts {
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -45,8 +45,8 @@
 // The request that an event is about; empty if it is about none.
 std::string RequestOf(const Event& event) {
   if (const auto* request = std::get_if<Request>(&event)) return request->id;
-  if (const auto* outcome = std::get_if<Outcome>(&event)) return outcome->request;
-  if (const auto* gone = std::get_if<ClientGone>(&event)) return gone->request;
+  if (const auto* outcome = std::get_if<AttemptOutcome>(&event)) return outcome->request;
+  if (const auto* gone = std::get_if<ClientDisconnected>(&event)) return gone->request;
   return {};
 }
 
@@ -62,8 +62,8 @@
   figures_.Know(settings_.classes);
 }
 
-Policy::Admission Gateway::Admits(const std::string& class_name, Effect effect) {
-  return policy_.admits(clock_.Now(), class_name, effect);
+Policy::Admission Gateway::Admits(const std::string& class_name, Idempotency effect) {
+  return policy_.CheckAdmission(clock_.Now(), class_name, effect);
 }
 
 void Gateway::Configure(const Settings& settings) {
@@ -122,7 +122,7 @@
   flow->rest.reset();
   flow->leaves_at = flow->sure_until = clock_.Now() + flow->allowed - kMargin;
   Count(id, *flow);
-  Report(RequestWhole{id, flow->leaves_at - clock_.Now()});
+  Report(RequestBodyComplete{id, flow->leaves_at - clock_.Now()});
 }
 
 void Gateway::Begun(const std::string& id, std::size_t attempt, Reply reply,
@@ -139,20 +139,20 @@
             figures_.Ended(name, whole ? Figures::End::kAnswered : Figures::End::kErrored);
           },
           true, nullptr, nullptr});
-  Report(StreamStarted{id, static_cast<int>(attempt), latency});
+  Report(ResponseStarted{id, static_cast<int>(attempt), latency});
 }
 
 // Unlike a long answer, a tunnel may end while its client is told: the module hears of its beginning first.
 void Gateway::Opened(const std::string& id, std::size_t attempt, std::unique_ptr<meadowyard::Opened> opened) {
   Flow* const flow = Find(id);
-  if (flow == nullptr || flow->answered) return Ended(id, attempt, Result::kCancelled, {});
+  if (flow == nullptr || flow->answered) return Ended(id, attempt, AttemptResult::kCancelled, {});
   flow->answered = true;
   flow->overdue.reset();
   flow->call.reset();
   figures_.Sent(flow->class_name);
   const Millis latency = clock_.Now() - flow->attempts[attempt].sent;
   const auto answer = std::exchange(flow->answer, nullptr);
-  Report(StreamStarted{id, static_cast<int>(attempt), latency});
+  Report(ResponseStarted{id, static_cast<int>(attempt), latency});
   answer({meadowyard::Answer::Kind::kServed,
           0,
           {},
@@ -169,21 +169,21 @@
   figures_.Ended(flow->class_name, end == TunnelEnd::kEnded    ? Figures::End::kAnswered
                                    : end == TunnelEnd::kBroken ? Figures::End::kErrored
                                                                : Figures::End::kLeft);
-  Ended(id, attempt, end == TunnelEnd::kBroken ? Result::kReset : Result::kServed, {});
+  Ended(id, attempt, end == TunnelEnd::kBroken ? AttemptResult::kReset : AttemptResult::kServed, {});
 }
 
 std::function<void(TunnelEnd)> Gateway::AdoptTunnel(const std::string& class_name, const std::string& host) {
   figures_.Taken();
-  Report(Held{host, 1});
+  Report(TunnelCountChanged{host, 1});
   return [this, class_name, host](TunnelEnd end) {
     figures_.Ended(class_name, end == TunnelEnd::kPassedOn ? Figures::End::kLeft : Figures::End::kAnswered);
-    Report(Held{host, -1});
+    Report(TunnelCountChanged{host, -1});
   };
 }
 
 void Gateway::Left(const std::string& id) {
   Flow* const flow = Find(id);
-  if (flow == nullptr || flow->answered) return Report(ClientGone{id});
+  if (flow == nullptr || flow->answered) return Report(ClientDisconnected{id});
   End(*flow, Figures::End::kLeft);  // nothing is owed any more
   // What comes up from now on is not written, also where nothing may be cancelled: the first attempt that is
   // ended may be the last of the flow.
@@ -192,24 +192,24 @@
     if (attempt.out) out.push_back(attempt.number);
   }
   for (const std::uint64_t number : out) upstream_.Withdraw(number);
-  Report(ClientGone{id});
+  Report(ClientDisconnected{id});
 }
 
-void Gateway::Ended(const std::string& id, std::size_t attempt, Result result, Reply reply) {
+void Gateway::Ended(const std::string& id, std::size_t attempt, AttemptResult result, Reply reply) {
   Flow* const flow = Find(id);
   if (flow == nullptr) return;
   flow->spent = flow->spent || (flow->rest && flow->rest->begun());
   Attempt& ended = flow->attempts[attempt];
   ended.out = false;
-  Outcome outcome{id,
-                  static_cast<int>(attempt),
-                  ended.host,
-                  result,
-                  false,
-                  clock_.Now() - std::max(ended.sent, std::min(flow->whole_at, clock_.Now())),
-                  ParseLoad(reply.load_report, settings_.report_fields),
-                  flow->spent || clock_.Now() >= flow->sure_until};
-  if (result == Result::kServed && !flow->answered) {
+  AttemptOutcome outcome{id,
+                         static_cast<int>(attempt),
+                         ended.host,
+                         result,
+                         false,
+                         clock_.Now() - std::max(ended.sent, std::min(flow->whole_at, clock_.Now())),
+                         ParseLoad(reply.load_report, settings_.load_report_fields),
+                         flow->spent || clock_.Now() >= flow->sure_until};
+  if (result == AttemptResult::kServed && !flow->answered) {
     Answer(
         *flow, Figures::End::kAnswered,
         {meadowyard::Answer::Kind::kServed, 0, std::move(reply), nullptr, nullptr, true, nullptr, nullptr});
@@ -222,7 +222,7 @@
   Flow* const flow = Find(id);
   if (flow == nullptr || flow->answered) return;
   Answer(*flow, Figures::End::kErrored, Unserved(meadowyard::Answer::Kind::kOverdue));
-  Report(ClientGone{id});
+  Report(ClientDisconnected{id});
 }
 
 void Gateway::Report(Event event) {
@@ -237,7 +237,7 @@
     try {
       Handle(next);
     } catch (...) {  // out of memory, perhaps: the module's time goes on all the same
-      if (const auto* const timer = std::get_if<TimerDue>(&next)) Do(SetTimer{kTimerAgain, timer->name});
+      if (const auto* const timer = std::get_if<TimerExpired>(&next)) Do(SetTimer{kTimerAgain, timer->name});
       throw;
     }
   }
@@ -246,13 +246,13 @@
 void Gateway::Handle(const Event& event) {
   const std::string id = RequestOf(event);
   std::vector<Action> actions;
-  if (const auto* const told = std::get_if<Outcome>(&event)) {
-    Outcome outcome = *told;
+  if (const auto* const told = std::get_if<AttemptOutcome>(&event)) {
+    AttemptOutcome outcome = *told;
     const Flow* const flow = Find(id);
-    outcome.finished = flow == nullptr || flow->answered;
-    policy_.handle(clock_.Now(), outcome, actions);
+    outcome.request_finished = flow == nullptr || flow->answered;
+    policy_.Handle(clock_.Now(), outcome, actions);
   } else {
-    policy_.handle(clock_.Now(), event, actions);
+    policy_.Handle(clock_.Now(), event, actions);
   }
   for (const Action& action : actions) {
     std::visit([this](const auto& a) { Do(a); }, action);
@@ -260,7 +260,7 @@
   Settle(id);
 }
 
-void Gateway::Do(const Send& send) {
+void Gateway::Do(const StartAttempt& send) {
   Flow* const flow = Find(send.request);
   const Millis now = clock_.Now();
   // Its client's end may lie in the socket unread: what came first, a chance to send or that end, is no
@@ -270,11 +270,11 @@
   if (flow == nullptr || flow->answered ||
       static_cast<int>(flow->attempts.size()) >= settings_.max_attempts) {
     const int attempt = flow == nullptr ? 0 : static_cast<int>(flow->attempts.size());
-    if (flow != nullptr) flow->attempts.push_back({send.server, now, 0, false});
-    return Report(Outcome{send.request, attempt, send.server, Result::kNotSent, true, 0, {}});
+    if (flow != nullptr) flow->attempts.push_back({send.endpoint, now, 0, false});
+    return Report(AttemptOutcome{send.request, attempt, send.endpoint, AttemptResult::kNotSent, true, 0, {}});
   }
   const std::size_t index = flow->attempts.size();
-  flow->attempts.push_back({send.server, now});
+  flow->attempts.push_back({send.endpoint, now});
   // A host is told no more time than is left to the client. Where it may have waited unread for longer than
   // is known the first attempt has what it may have; a further one, what it surely has.
   const Millis last = index == 0 ? flow->leaves_at : flow->sure_until;
@@ -283,8 +283,8 @@
   errand.call = flow->call;
   errand.rest = flow->rest;
   errand.deadline = until;
-  errand.wanted = [this, id = send.request, server = send.server] {
-    return Wanted(Find(id)) && policy_.may_use(server, id);
+  errand.wanted = [this, id = send.request, server = send.endpoint] {
+    return Wanted(Find(id)) && policy_.IsEligible(server, id);
   };
   errand.written = [this, name = flow->class_name] { figures_.Sent(name); };
   errand.begun = [this, id = send.request, index](Reply reply, std::shared_ptr<BodySource> rest) {
@@ -295,14 +295,14 @@
       Opened(id, index, std::move(opened));
     };
   }
-  errand.done = [this, id = send.request, index](Result result, Reply reply) {
+  errand.done = [this, id = send.request, index](AttemptResult result, Reply reply) {
     Ended(id, index, result, std::move(reply));
   };
-  const std::uint64_t number = upstream_.Start(send.server, std::move(errand));
+  const std::uint64_t number = upstream_.Start(send.endpoint, std::move(errand));
   if (Flow* const still = Find(send.request)) still->attempts[index].number = number;
 }
 
-void Gateway::Do(const Refuse& refuse) {
+void Gateway::Do(const Reject& refuse) {
   Flow* const flow = Find(refuse.request);
   if (flow == nullptr) return;
   Answer(*flow, Figures::End::kDeferred, Unserved(meadowyard::Answer::Kind::kRefused, refuse.retry_after));
@@ -316,19 +316,19 @@
   Settle(fail.request);
 }
 
-void Gateway::Do(const Cancel& cancel) {
+void Gateway::Do(const CancelAttempt& cancel) {
   Flow* const flow = Find(cancel.request);
   const auto attempt = static_cast<std::size_t>(cancel.attempt);
   if (flow != nullptr && attempt < flow->attempts.size()) upstream_.Cancel(flow->attempts[attempt].number);
 }
 
 void Gateway::Do(const SetTimer& timer) {
-  timers_[timer.name] = clock_.After(timer.delay, [this, name = timer.name] { Report(TimerDue{name}); });
+  timers_[timer.name] = clock_.After(timer.delay, [this, name = timer.name] { Report(TimerExpired{name}); });
 }
 
-void Gateway::Do(const Watch&) { handlers_.watch(); }
+void Gateway::Do(const PollEndpoints&) { handlers_.watch(); }
 
-void Gateway::Do(const Log& log) { handlers_.log(log.text); }
+void Gateway::Do(const Log& log) { handlers_.log(log); }
 
 Gateway::Flow* Gateway::Find(const std::string& id) {
   const auto found = flows_.find(id);
--- a/src/core/gateway.hpp
+++ b/src/core/gateway.hpp
@@ -24,14 +24,14 @@
  public:
   struct Handlers {
     std::function<void()> watch;  // the module asks for the list of hosts
-    std::function<void(const std::string& text)> log;
+    std::function<void(const Log& entry)> log;
   };
   // Throws std::invalid_argument naming the field when the settings can't work. `clock` and `upstream`
   // outlive it.
   Gateway(Clock& clock, const Settings& settings, std::uint64_t seed, Upstream& upstream, Handlers handlers);
 
   // ---- For fronts: each request that is taken gets one answer ----
-  Policy::Admission Admits(const std::string& class_name, Effect effect);
+  Policy::Admission Admits(const std::string& class_name, Idempotency effect);
   void Take(ClientRequest request);
   // The body that was still coming is whole: from now on the request's time counts.
   void Whole(const std::string& id);
@@ -81,18 +81,18 @@
   void Count(const std::string& id, Flow& flow);
   // An attempt has a long answer, which goes to the client as it comes.
   void Begun(const std::string& id, std::size_t attempt, Reply reply, std::shared_ptr<BodySource> rest);
-  void Ended(const std::string& id, std::size_t attempt, Result result, Reply reply);
+  void Ended(const std::string& id, std::size_t attempt, AttemptResult result, Reply reply);
   void Opened(const std::string& id, std::size_t attempt, std::unique_ptr<meadowyard::Opened> opened);
   void Closed(const std::string& id, std::size_t attempt, TunnelEnd end);
   void Overdue(const std::string& id);
 
   void Handle(const Event& event);
-  void Do(const Send& send);
-  void Do(const Refuse& refuse);
+  void Do(const StartAttempt& send);
+  void Do(const Reject& refuse);
   void Do(const Fail& fail);
-  void Do(const Cancel& cancel);
+  void Do(const CancelAttempt& cancel);
   void Do(const SetTimer& timer);
-  void Do(const Watch& watch);
+  void Do(const PollEndpoints& watch);
   void Do(const Log& log);
 
   Flow* Find(const std::string& id);
--- a/src/core/message.hpp
+++ b/src/core/message.hpp
@@ -89,16 +89,16 @@
 struct ClientRequest {
   Call call;
   std::string id, class_name, tenant, key;
-  Effect effect = Effect::kUnsafe;     // as which the client made it
-  bool retry = false;                  // the client's own further try
-  bool tunnel = false;                 // its answer is an open way to a host
-  std::string only;                    // the one host that it may go to; empty: any
-  Millis received = 0;                 // when its last byte was read
-  Millis sent_after = 0;               // no sooner did it come; 0: as it was received
-  Millis allowed = 0;                  // how long the client waits, from when it sent it
-  std::shared_ptr<BodySource> rest;    // of a body that is not whole yet; null if it is
-  std::function<void(Answer)> answer;  // to be called once; what follows is dropped
-  std::function<bool()> gone;          // whether its client has left, though nobody was told yet; may be null
+  Idempotency effect = Idempotency::kNonIdempotent;  // as which the client made it
+  bool retry = false;                                // the client's own further try
+  bool tunnel = false;                               // its answer is an open way to a host
+  std::string only;                                  // the one host that it may go to; empty: any
+  Millis received = 0;                               // when its last byte was read
+  Millis sent_after = 0;                             // no sooner did it come; 0: as it was received
+  Millis allowed = 0;                                // how long the client waits, from when it sent it
+  std::shared_ptr<BodySource> rest;                  // of a body that is not whole yet; null if it is
+  std::function<void(Answer)> answer;                // to be called once; what follows is dropped
+  std::function<bool()> gone;  // whether its client has left, though nobody was told yet; may be null
 };
 
 }  // namespace meadowyard
--- a/src/core/upstream.hpp
+++ b/src/core/upstream.hpp
@@ -24,7 +24,7 @@
   // For a tunnel: the way to the host is open, and belongs to whoever is told. `done` does not follow.
   std::function<void(std::unique_ptr<Opened>)> opened;
   // How it ended; the reply is the host's, if there was one. Called once, perhaps before Start returns.
-  std::function<void(Result, Reply)> done;
+  std::function<void(AttemptResult, Reply)> done;
 };
 
 class Upstream {
--- a/src/decision/fleet.hpp
+++ b/src/decision/fleet.hpp
@@ -17,10 +17,10 @@
   void Emit(Action action) { out_->push_back(std::move(action)); }
 
   // A log line, at most a few a second: trouble must not flood the gateway's log.
-  void Say(std::string text) {
+  void Say(Log entry) {
     if (now_ < quiet_until_) return;
     quiet_until_ = now_ + 200;
-    Emit(Log{std::move(text)});
+    Emit(std::move(entry));
   }
 
   bool Many() const { return sharers_ > kManySharers; }
@@ -28,8 +28,9 @@
   // The share of its capacity that a started server surely has by now.
   double Warmth(const Backend& b) const {
     const Millis age = now_ - b.cold_since;
-    if (age >= set_.cold_for) return 1;
-    return set_.cold_from + (1 - set_.cold_from) * std::max(0.0, age) / set_.cold_for;
+    if (age >= set_.slow_start_duration) return 1;
+    return set_.slow_start_fraction +
+           (1 - set_.slow_start_fraction) * std::max(0.0, age) / set_.slow_start_duration;
   }
 
   // Subsetting: where many gateways share the servers each keeps to a few, for a few requests a second over
@@ -37,12 +38,12 @@
   // their index: any run of them covers the ring, on which kinds lie evenly. The next comes in for one that
   // is ejected.
   void ChooseSubset() {
-    if (shared_ && set_.subset > 0) return ChooseShared();
+    if (shared_ && set_.subset_size > 0) return ChooseShared();
     OrderRing();
     const double all = static_cast<double>(ring_.size());
-    const double part = set_.streams > 1 ? kHeldPart : 1;
-    const double wanted = part * std::max(kLeastServers, kSharers * all / set_.gateways);
-    sharers_ = std::max(1.0, set_.gateways * std::min(1.0, wanted / std::max(1.0, all)));
+    const double part = set_.streams_per_connection > 1 ? kHeldPart : 1;
+    const double wanted = part * std::max(kLeastServers, kSharers * all / set_.gateway_count);
+    sharers_ = std::max(1.0, set_.gateway_count * std::min(1.0, wanted / std::max(1.0, all)));
     double chosen = 0;
     for (std::size_t i = 0; i < ring_.size() && chosen < wanted; ++i) {
       Backend& b = *ring_[(i + static_cast<std::size_t>(place_ * all)) % ring_.size()].second;
@@ -60,11 +61,11 @@
     std::map<std::pair<std::string, std::string>, std::vector<Backend*>> groups;
     for (auto& [id, b] : servers_) {
       b.mine = false;
-      if (b.up) groups[{b.info.kind, set_.locality.on ? b.info.zone : std::string()}].push_back(&b);
+      if (b.up) groups[{b.info.kind, set_.zone_routing.enabled ? b.info.zone : std::string()}].push_back(&b);
     }
     int group = 0;
-    std::uint64_t of =
-        XXH3_64bits_withSeed(&slot_, sizeof slot_, static_cast<std::uint64_t>(set_.subset * 1000 + listed_));
+    std::uint64_t of = XXH3_64bits_withSeed(&slot_, sizeof slot_,
+                                            static_cast<std::uint64_t>(set_.subset_size * 1000 + listed_));
     for (const auto& [of_group, members] : groups) {
       for (Backend* const b : members) {
         items.push_back({group, b->hash});
@@ -77,7 +78,7 @@
     // crowded.
     const std::size_t two =
         (2 * all.size() + static_cast<std::size_t>(listed_) - 1) / static_cast<std::size_t>(listed_);
-    const std::size_t asked = std::max(two, static_cast<std::size_t>(set_.subset));
+    const std::size_t asked = std::max(two, static_cast<std::size_t>(set_.subset_size));
     const double size = static_cast<double>(std::min(asked, all.size()));
     sharers_ = std::max(1.0, Gateways() * size / std::max<double>(1, static_cast<double>(all.size())));
     if (std::exchange(subset_of_, of) != of) {
--- a/src/decision/locality.hpp
+++ b/src/decision/locality.hpp
@@ -10,25 +10,25 @@
  protected:
   using Membership::On;
 
-  void On(const ZonesAgreed& news) {
-    if (!news.After(agreed_)) return;
+  void On(const ZoneAgreement& news) {
+    if (!news.IsNewerThan(agreed_)) return;
     agreed_ = news;
     Spread();
   }
 
-  Sights Look() const {
-    std::map<std::string, ZoneSight> all;
+  ZoneLoadReport Look() const {
+    std::map<std::string, ZoneLoad> all;
     for (const auto& [id, b] : servers_) {
       if (!b.up) continue;
-      all[b.info.zone].size += b.info.weight;
+      all[b.info.zone].capacity += b.info.weight;
       // What is cold counts once it is warm: until then its budget lets little through, and the rest would
       // wait.
-      all[b.info.zone].fit += b.suspect || Warmth(b) < 1 ? 0 : b.info.weight;
+      all[b.info.zone].available += b.suspect || Warmth(b) < 1 ? 0 : b.info.weight;
     }
     for (const auto& [name, z] : zones_) {
-      all[name].ended = z.ended * z.Keep(now_), all[name].good = z.good * z.Keep(now_);
+      all[name].completed = z.ended * z.Keep(now_), all[name].within_objective = z.good * z.Keep(now_);
     }
-    Sights sights{set_.zone, arriving_ * 1000, {}};
+    ZoneLoadReport sights{set_.zone, arriving_ * 1000, {}};
     for (auto& [name, z] : all) z.zone = name, sights.zones.push_back(z);
     return sights;
   }
@@ -39,16 +39,16 @@
   void Spread() {
     parts_.clear();
     beyond_ = 0;
-    const Locality& l = set_.locality;
+    const ZoneRoutingSettings& l = set_.zone_routing;
     double demand = 0, size = 0, fit = 0, rest = 1;
     bool here = false;  // the zone that this gateway stands in is among them
     // Never nothing, or shares would have no sense.
     const auto asked = [](const auto& z) { return z.demand + 0.01; };
     for (const auto& z : agreed_.zones) {
-      demand += asked(z), size += z.size, fit += z.size * z.health;
+      demand += asked(z), size += z.capacity, fit += z.capacity * z.health;
       here = here || z.name == set_.zone;
     }
-    if (!l.on || !here || size <= 0) return;
+    if (!l.enabled || !here || size <= 0) return;
     struct Place {
       const std::string* zone;
       double spill, room, extra;  // requests a second; room for others below 0: it has too much of its own
@@ -58,11 +58,13 @@
     int mine = 0;
     for (const auto& z : agreed_.zones) {
       // Where most has failed everywhere it is no zone's fault, and going elsewhere helps nobody.
-      const double health = fit < l.panic * size ? 1 : z.health, kept = std::min(1.0, l.spare * health);
-      const double share = kept < 1 ? 0 : health * z.size / size * demand;
+      const double health = fit < l.panic_threshold * size ? 1 : z.health,
+                   kept = std::min(1.0, l.overprovisioning * health);
+      const double share = kept < 1 ? 0 : health * z.capacity / size * demand;
       const auto known = l.regions.find(z.name);
       const int region = known != l.regions.end() ? known->second : -1 - static_cast<int>(places.size());
-      places.push_back({&z.name, asked(z) * (1 - kept), share - asked(z), l.most_extra * share / 2, region});
+      places.push_back(
+          {&z.name, asked(z) * (1 - kept), share - asked(z), l.max_overflow * share / 2, region});
       if (z.name == set_.zone) rest = 1 - kept, mine = region, parts_.push_back({z.name, kept});
     }
     for (const bool near : {true, false}) {
@@ -90,7 +92,7 @@
   // The zone that a request is to go to; null: any. A further try is no failover of its gateway: it may go
   // anywhere, and the retry budget bounds them all.
   const std::string* ZoneFor(const Flow& flow) const {
-    if (!set_.locality.on || flow.only != 0 || !flow.attempts.empty()) return nullptr;
+    if (!set_.zone_routing.enabled || flow.only != 0 || !flow.attempts.empty()) return nullptr;
     if (parts_.empty()) {
       const auto here = [&](const auto& s) { return s.second.up && s.second.info.zone == set_.zone; };
       return std::any_of(servers_.begin(), servers_.end(), here) ? &set_.zone : nullptr;
--- a/src/decision/membership.hpp
+++ b/src/decision/membership.hpp
@@ -20,18 +20,19 @@
            std::find(departed_.begin(), departed_.end(), id) != departed_.end();
   }
 
-  void On(const ServerNews& news) {
-    if (news.kind == ServerNews::Kind::kFailed) {
+  void On(const EndpointUpdate& news) {
+    if (news.kind == EndpointUpdate::Kind::kFailed) {
       // The list service may be swamped: ask again later each time, never all gateways at once.
-      ask_gap_ = std::min({std::max(kAskGap, ask_gap_ * 2), set_.ask_within / 4, kWatchAgain / 1.5});
+      ask_gap_ =
+          std::min({std::max(kAskGap, ask_gap_ * 2), set_.max_poll_interval / 4, kMaxPollBackoff / 1.5});
       ask_at_ = now_ + ask_gap_ * (0.5 + Uniform());
       return;
     }
     ask_gap_ = 0;
-    if (news.kind == ServerNews::Kind::kFull) {
+    if (news.kind == EndpointUpdate::Kind::kSnapshot) {
       for (auto& [id, b] : servers_) b.listed = b.up = false;
     }
-    for (const Server& s : news.servers) Learn(s);
+    for (const Endpoint& s : news.endpoints) Learn(s);
     for (auto it = servers_.begin(); it != servers_.end();) {
       if (it->second.listed || it->second.refs > 0) {
         ++it;
@@ -44,7 +45,7 @@
     CountUp();
   }
 
-  void On(const Recollection& learned) {
+  void On(const LearnedState& learned) {
     Remember(learned);
     CountUp();
   }
@@ -57,17 +58,17 @@
 
   // A gateway out of touch may be alone, or the others may have lost it: its share stays what it was, and so
   // do its servers. One that has never been in touch counts all that are listed.
-  void On(const PeerNews& news) {
-    const int listed = std::max(1, news.listed);
+  void On(const MembershipUpdate& news) {
+    const int listed = std::max(1, news.configured);
     const int before = std::exchange(listed_, listed), gateways = Gateways(), slot = slot_;
     const bool first = !std::exchange(shared_, true);
     if (first || before != listed) present_ = std::max(present_, listed);
-    in_touch_until_ = news.in_touch_until;
+    in_touch_until_ = news.quorum_until;
     if (InTouch()) {
       present_ = std::clamp(news.present, 1, listed);
-      slot_ = std::clamp(news.place, 0, present_ - 1);
+      slot_ = std::clamp(news.rank, 0, present_ - 1);
     } else if (before != listed) {
-      slot_ = std::max(0, news.place);
+      slot_ = std::max(0, news.rank);
     }
     if (first || gateways != Gateways() || slot != slot_) ChooseSubset();
     Heed(news.gossip);
@@ -77,7 +78,8 @@
     for (const auto& [id, at] : gossip.started) {
       const auto found = servers_.find(id);
       // The youngest that anybody knows of: a list comes late, a stopped gateway later, and clocks differ.
-      if (found == servers_.end() || at < found->second.cold_since + kApart || now_ - at >= set_.cold_for)
+      if (found == servers_.end() || at < found->second.cold_since + kApart ||
+          now_ - at >= set_.slow_start_duration)
         continue;
       Renew(found->second, std::min(at, now_));
     }
@@ -104,34 +106,34 @@
   }
 
   // By hand: kept apart from the list, so that none can bring a server back.
-  void On(const ServerOut& out) {
-    if (!Knows(out.server) || !out_by_hand_.insert(out.server).second) return;
-    Say("server " + out.server + " left out by hand");
-    if (const auto found = servers_.find(out.server); found != servers_.end()) found->second.up = false;
+  void On(const MaintenanceStarted& out) {
+    if (!Knows(out.endpoint) || !out_by_hand_.insert(out.endpoint).second) return;
+    Say({Log::Event::kMaintenanceStarted, out.endpoint});
+    if (const auto found = servers_.find(out.endpoint); found != servers_.end()) found->second.up = false;
     CountUp();
   }
 
   // Whatever the list knows yet, it may have been started a moment ago.
-  void On(const ServerBack& back) {
-    if (out_by_hand_.erase(back.server) == 0) return;
-    Say("server " + back.server + " put back by hand");
-    if (const auto found = servers_.find(back.server); found != servers_.end()) {
+  void On(const MaintenanceEnded& back) {
+    if (out_by_hand_.erase(back.endpoint) == 0) return;
+    Say({Log::Event::kMaintenanceEnded, back.endpoint});
+    if (const auto found = servers_.find(back.endpoint); found != servers_.end()) {
       Backend& b = found->second;
       Renew(b, now_);
-      b.up = b.listed && b.info.state == ServerState::kUp;
+      b.up = b.listed && b.info.state == EndpointState::kUp;
     }
     CountUp();
   }
 
-  void Learn(const Server& s) {
+  void Learn(const Endpoint& s) {
     const auto [entry, added] = servers_.try_emplace(s.id);
     Backend& b = entry->second;
     const bool restarted = added || s.started_at > b.info.started_at;
     b.info = s;
     b.kind = &kinds_[s.kind];
     b.hash = Hash(s.id);
-    b.listed = s.state != ServerState::kGone;
-    b.up = s.state == ServerState::kUp && !out_by_hand_.contains(s.id);
+    b.listed = s.state != EndpointState::kRemoved;
+    b.up = s.state == EndpointState::kUp && !out_by_hand_.contains(s.id);
     if (!(b.info.weight > 0) || !std::isfinite(b.info.weight)) b.info.weight = 1;
     if (restarted) Renew(b, s.started_at > 0 ? std::min(s.started_at, now_) : kNever);  // 0: up for long
     b.start_told = b.start_told || (restarted && s.started_at > 0);
--- a/src/decision/picker.hpp
+++ b/src/decision/picker.hpp
@@ -23,18 +23,19 @@
 
   // Rule 2: a keyed request that may have run stays with the servers that drop its repeats.
   bool Allowed(const Flow& flow, const Backend& b) const {
-    const ClassSettings& c = classes_[flow.cls].set;
-    const Attempt* first = c.effect == Effect::kKeyed ? flow.FirstRun() : nullptr;
+    const TrafficClassSettings& c = classes_[flow.cls].set;
+    const Attempt* first = c.idempotency == Idempotency::kIdempotencyKey ? flow.FirstRun() : nullptr;
     if (first == nullptr || first->out) return true;  // none, or it is the one that is on its way
-    if (now_ - first->sent >= c.repeat_window) return false;
-    const Server& at = first->server->info;
-    if (c.group == Group::kZone) return at.zone == b.info.zone;
-    return c.group == Group::kAll || at.cell == b.info.cell;
+    if (now_ - first->sent >= c.dedup_window) return false;
+    const Endpoint& at = first->server->info;
+    if (c.dedup_scope == DedupScope::kZone) return at.zone == b.info.zone;
+    return c.dedup_scope == DedupScope::kAll || at.cell == b.info.cell;
   }
 
   // The better of two ready servers by (own in-flight + 1) x smoothed latency, or null.
   Backend* Pick(const Flow& flow) {
-    const bool repeatable = classes_[flow.cls].set.effect == Effect::kSafe && flow.attempts.empty();
+    const bool repeatable =
+        classes_[flow.cls].set.idempotency == Idempotency::kIdempotent && flow.attempts.empty();
     const Backend* last = flow.attempts.empty() ? nullptr : flow.attempts.back().server;
     const std::string* const zone = ZoneFor(flow);
     Backend* trial = nullptr;
@@ -44,7 +45,9 @@
       // One limited to a single server goes there whatever the subset, and again.
       if (!b.up || (flow.only != 0 ? (b.hash | 1) != flow.only : !b.mine || &b == last) || !Allowed(flow, b))
         continue;
-      if (flow.holds && set_.most_held > 0 && b.held + b.in_flight >= set_.most_held) continue;
+      if (flow.holds && set_.max_tunnels_per_endpoint > 0 &&
+          b.held + b.in_flight >= set_.max_tunnels_per_endpoint)
+        continue;
       // Suspects of the own zone are tried wherever requests go: nobody else may be there to find out.
       if (zone != nullptr && b.info.zone != *zone && !(b.suspect && b.info.zone == set_.zone)) continue;
       // A suspect returns by one trial at a time, with a request that may run again; with any where nobody is
@@ -66,7 +69,7 @@
       if (there != candidates_.begin()) candidates_.erase(there, candidates_.end());
     }
     if (candidates_.size() > 2) {
-      if (set_.warm_keys && flow.key != 0) {
+      if (set_.key_affinity && flow.key != 0) {
         // Weighted rendezvous: lowest first; a server's coming or going moves only its own keys.
         for (auto& [rank, b] : candidates_) rank = -std::log(Fraction(flow.key ^ b->hash)) / b->info.weight;
         std::partial_sort(candidates_.begin(), candidates_.begin() + 2, candidates_.end(),
--- a/src/decision/policy.cpp
+++ b/src/decision/policy.cpp
@@ -30,7 +30,7 @@
     set_ = std::move(settings);
     random_.seed(seed);
     const double worth = Validate(set_);
-    place_ = set_.index < 0 ? Uniform() : std::fmod(set_.index * 0.6180339887498949, 1.0);
+    place_ = set_.gateway_index < 0 ? Uniform() : std::fmod(set_.gateway_index * 0.6180339887498949, 1.0);
     Apply(worth);
   }
 
@@ -48,9 +48,10 @@
     return flow == flows_.end() || Allowed(flow->second, found->second);
   }
 
-  Admission Admits(Millis now, const std::string& name, Effect effect) {
-    if (TierOf(name, effect, now) != nullptr) return Admission::kYes;
-    return TierOf(name, std::nullopt, now) != nullptr ? Admission::kNoEffect : Admission::kNoClass;
+  Admission Admits(Millis now, const std::string& name, Idempotency effect) {
+    if (TierOf(name, effect, now) != nullptr) return Admission::kAccepted;
+    return TierOf(name, std::nullopt, now) != nullptr ? Admission::kIdempotencyMismatch
+                                                      : Admission::kUnknownClass;
   }
 
   void Handle(Millis now, const Event& event, std::vector<Action>& out) {
@@ -71,18 +72,18 @@
   // Puts the settings into force, `worth` being that of all classes. What was learned of a class and what a
   // tenant has left stays.
   void Apply(double worth) {
-    const auto& fields = set_.report_fields;
+    const auto& fields = set_.load_report_fields;
     busy_at_ = std::find(fields.begin(), fields.end(), "util") - fields.begin();
     const Millis last = now_ + kOldClass;
     for (Tier& c : classes_) c.until = std::min(c.until, last);
-    for (const ClassSettings& set : set_.classes) {
+    for (const TrafficClassSettings& set : set_.classes) {
       const Tier* const known = TierOf(set.name, std::nullopt, now_);
       const Tier old = known != nullptr ? *known : Tier();
       const bool same = known != nullptr && known->set == set && known->until == last;
       Tier& c = same ? classes_[known - classes_.data()] : NewTier();
       c.set = set;
       c.until = std::numeric_limits<Millis>::infinity();
-      c.weight = worth > 0 ? set.worth / worth : 1.0 / static_cast<double>(set_.classes.size());
+      c.weight = worth > 0 ? set.priority_weight / worth : 1.0 / static_cast<double>(set_.classes.size());
       c.latency = old.latency;
       c.samples = old.samples;
     }
@@ -105,21 +106,21 @@
   // ---- Requests ------------------------------------------------------------
 
   void On(const Request& r) {
-    Tier* const tier = TierOf(r.class_name, r.effect, now_);
+    Tier* const tier = TierOf(r.class_name, r.idempotency, now_);
     if (flows_.contains(r.id)) return;
-    if (tier == nullptr) return Emit(Refuse{r.id, 0});  // no such class: never sent
+    if (tier == nullptr) return Emit(Reject{r.id, 0});  // no such class: never sent
     Flow& flow = flows_[r.id];
     Tier& c = *tier;
     ++c.open;
     flow.id = r.id;
     flow.cls = static_cast<int>(tier - classes_.data());
     flow.most_attempts = set_.max_attempts;
-    flow.coming = r.coming;
-    flow.only = r.only.empty() ? 0 : Hash(r.only) | 1;
-    flow.holds = r.holds;
+    flow.coming = r.body_pending;
+    flow.only = r.pinned_endpoint.empty() ? 0 : Hash(r.pinned_endpoint) | 1;
+    flow.holds = r.is_tunnel;
     flow.key = r.key.empty() ? 0 : Hash(r.key) | 1;
     flow.arrived = now_;
-    if (set_.locality.on) flow.draw = Uniform();
+    if (set_.zone_routing.enabled) flow.draw = Uniform();
     arriving_ += 1 / kLongMemory;
     // A client that claims more than its class allows must not hold a place for as long.
     const Millis left = std::isfinite(r.time_left) ? std::clamp(r.time_left, 0.0, c.set.deadline) : 0.0;
@@ -129,16 +130,16 @@
     // Where clients mark further tries none else is one, and what first tries have left is their mean: a
     // single client with more time than is usual must not make all others look late. Elsewhere it is a guess
     // from all tries, which follows the longest; a guess has nobody turned away.
-    const bool marked = set_.marks_retry && r.retry;
-    const double weight = left > c.most_left || set_.marks_retry ? kFirstLeft : kFirstLeft / 4;
+    const bool marked = set_.clients_mark_retries && r.is_retry;
+    const double weight = left > c.most_left || set_.clients_mark_retries ? kFirstLeft : kFirstLeft / 4;
     if (!marked) c.most_left += (c.most_left > 0 ? weight : 1) * (left - c.most_left);
-    const bool further = marked || !set_.marks_retry;
+    const bool further = marked || !set_.clients_mark_retries;
     const Millis spent = further && left < kFirstTry * c.most_left ? std::max(0.0, c.set.deadline - left) : 0;
-    const bool late = spent >= c.set.aim;
-    flow.aim_at = std::min(now_ + c.set.aim, flow.leaves_at);
+    const bool late = spent >= c.set.latency_objective;
+    flow.aim_at = std::min(now_ + c.set.latency_objective, flow.leaves_at);
     flow.in_share = !late && InShare(r.tenant, marked);
     retry_budget_ = std::min(retry_budget_ + kRetryShare, kRetryBurst);
-    if (late && marked && c.set.late_worth <= 0) return Answer(flow);    // worth nothing any more
+    if (late && marked && c.set.late_weight <= 0) return Answer(flow);   // worth nothing any more
     if (now_ >= flow.leaves_at - kAnswerBefore) return Answer(flow);     // no sweep may come in time
     if (flow.only == 0 && flow.draw > 1 - beyond_) return Answer(flow);  // no zone has room for it
     if (queued_ == 0 && tokens_ > 0 && Room()) {
@@ -155,7 +156,7 @@
   // ---- Attempts and answers --------------------------------------------------------------------
 
   void Dispatch(Flow& flow, Backend& b) {
-    const Millis until = classes_[flow.cls].set.late_worth > 0 ? flow.leaves_at : flow.aim_at;
+    const Millis until = classes_[flow.cls].set.late_weight > 0 ? flow.leaves_at : flow.aim_at;
     tokens_ -= 1;
     spent_rate_ += 1000 / kSpentMemory / (sharers_ > kManySharers ? 4 : 1);
     if (Warmth(b) < 1) b.cold_credit -= 1;
@@ -164,10 +165,10 @@
     ++b.refs;
     const Millis timeout = std::max(1.0, until - now_);
     flow.attempts.push_back({&b, now_, timeout, true, true, false, !flow.coming, false, false});
-    Emit(Send{flow.id, b.info.id, timeout});
+    Emit(StartAttempt{flow.id, b.info.id, timeout});
   }
 
-  void On(Outcome o) {
+  void On(AttemptOutcome o) {
     Flow* const known = Find(o.request);
     if (!known || o.attempt < 0 || o.attempt >= static_cast<int>(known->attempts.size())) return;
     Flow& flow = *known;
@@ -175,29 +176,30 @@
     if (!std::exchange(attempt.out, false)) return;
     if (!std::isfinite(o.latency) || o.latency < 0)
       o.latency = now_ - attempt.sent;  // never into an estimate
-    attempt.unreached = o.result == Result::kConnectFailed;
-    attempt.may_have_run =
-        o.result != Result::kRejected && o.result != Result::kConnectFailed && o.result != Result::kNotSent;
+    attempt.unreached = o.result == AttemptResult::kConnectFailed;
+    attempt.may_have_run = o.result != AttemptResult::kRejected &&
+                           o.result != AttemptResult::kConnectFailed && o.result != AttemptResult::kNotSent;
     Backend& b = *attempt.server;
     b.in_flight -= std::exchange(attempt.loads, false);
     attempt.held ? --b.held : --out_now_;
-    if (o.result == Result::kNotSent) tokens_ += 1;  // it bought nothing
+    if (o.result == AttemptResult::kNotSent) tokens_ += 1;  // it bought nothing
     // How long a tunnel lives says nothing of its server; that it broke at its beginning does.
-    if (!attempt.streams || (attempt.held && o.result == Result::kReset)) LearnFrom(b, flow, o);
-    if (o.finished || o.result == Result::kServed) flow.answered = true;
+    if (!attempt.streams || (attempt.held && o.result == AttemptResult::kReset)) LearnFrom(b, flow, o);
+    if (o.request_finished || o.result == AttemptResult::kServed) flow.answered = true;
     if (!flow.answered && !flow.AnyOut() && !flow.queued) return TryAgain(flow, o);
     Settle(flow);
   }
 
-  void LearnFrom(Backend& b, const Flow& flow, const Outcome& o) {
-    if (o.result == Result::kServed) LearnClass(classes_[flow.cls], o.latency);
-    if (o.result == Result::kCancelled || o.result == Result::kNotSent) return;  // nothing of the server
+  void LearnFrom(Backend& b, const Flow& flow, const AttemptOutcome& o) {
+    if (o.result == AttemptResult::kServed) LearnClass(classes_[flow.cls], o.latency);
+    if (o.result == AttemptResult::kCancelled || o.result == AttemptResult::kNotSent)
+      return;  // nothing of the server
     // Nor does it say much that an attempt ran out of a time in which few are answered: a client with hardly
     // any would have every server left out, and the rate cut for all.
     const Tier& c = classes_[flow.cls];
-    const Millis enough = std::min(kEnough * c.latency, c.set.aim / 2);
-    if (o.result == Result::kTimedOut && flow.attempts[o.attempt].timeout < enough) return;
-    Sighted(b.info.zone, o.result == Result::kServed && o.latency <= c.set.aim);
+    const Millis enough = std::min(kEnough * c.latency, c.set.latency_objective / 2);
+    if (o.result == AttemptResult::kTimedOut && flow.attempts[o.attempt].timeout < enough) return;
+    Sighted(b.info.zone, o.result == AttemptResult::kServed && o.latency <= c.set.latency_objective);
     MoveRate(b, flow, o);  // first: by whether the server was held ready until now
     Hear(b, o.load);
     Judge(b, flow, o);
@@ -209,32 +211,34 @@
   }
 
   // Another attempt only where it is legal, can still be in time, and the server was to blame.
-  void TryAgain(Flow& flow, const Outcome& o) {
-    const ClassSettings& c = classes_[flow.cls].set;
-    const bool legal = flow.NeverRan() || c.effect != Effect::kUnsafe;
-    const bool heavy = o.result == Result::kTimedOut && !flow.attempts.back().server->suspect;
+  void TryAgain(Flow& flow, const AttemptOutcome& o) {
+    const TrafficClassSettings& c = classes_[flow.cls].set;
+    const bool legal = flow.NeverRan() || c.idempotency != Idempotency::kNonIdempotent;
+    const bool heavy = o.result == AttemptResult::kTimedOut && !flow.attempts.back().server->suspect;
     const bool in_time = now_ + classes_[flow.cls].latency < flow.aim_at;
     const bool more =
         static_cast<int>(flow.attempts.size()) < std::min(flow.most_attempts, set_.max_attempts);
     // A connection that never came up cost no server any work.
-    const double price = o.result == Result::kConnectFailed && Many() ? 0 : 1;
-    if (!legal || o.spent || heavy || !in_time || !more || retry_budget_ < price) return Answer(flow);
+    const double price = o.result == AttemptResult::kConnectFailed && Many() ? 0 : 1;
+    if (!legal || o.not_replayable || heavy || !in_time || !more || retry_budget_ < price)
+      return Answer(flow);
     retry_budget_ -= price;
     Hold(flow, classes_[flow.cls].retries);
   }
 
   // The final answer to a request with no attempt out. A refusal says that trying again is harmless.
   void Answer(Flow& flow) {
-    const ClassSettings& c = classes_[flow.cls].set;
-    const bool harmless = flow.NeverRan() || c.effect == Effect::kSafe ||
-                          (c.effect == Effect::kKeyed && c.group == Group::kAll);
-    Emit(harmless ? Action(Refuse{flow.id, RetryAfter()}) : Action(Fail{flow.id}));
+    const TrafficClassSettings& c = classes_[flow.cls].set;
+    const bool harmless =
+        flow.NeverRan() || c.idempotency == Idempotency::kIdempotent ||
+        (c.idempotency == Idempotency::kIdempotencyKey && c.dedup_scope == DedupScope::kAll);
+    Emit(harmless ? Action(Reject{flow.id, RetryAfter()}) : Action(Fail{flow.id}));
     flow.answered = true;
     Settle(flow);
   }
 
   Millis RetryAfter() const {
-    if (!set_.retry_after) return 0;
+    if (!set_.sends_retry_after) return 0;
     // With no queue a place comes free, on average, within half of the time that an answer takes.
     const Millis queue = 1000 * static_cast<double>(queued_) / std::max(spent_rate_, 1.0);
     return std::min(set_.max_retry_after, std::max({queue, mean_latency_ / 2, kLeastRetryAfter}));
@@ -248,21 +252,21 @@
     flows_.erase(flow.id);
   }
 
-  void On(const ClientGone& gone) {
+  void On(const ClientDisconnected& gone) {
     Flow* const known = Find(gone.request);
     if (known == nullptr) return;
     Flow& flow = *known;
     Unqueue(flow);
     flow.answered = true;
-    for (std::size_t i = 0; set_.may_cancel && i < flow.attempts.size(); ++i) {
-      if (flow.attempts[i].out) Emit(Cancel{flow.id, static_cast<int>(i)});
+    for (std::size_t i = 0; set_.can_cancel_attempts && i < flow.attempts.size(); ++i) {
+      if (flow.attempts[i].out) Emit(CancelAttempt{flow.id, static_cast<int>(i)});
     }
     Settle(flow);
   }
 
   // The client owns it now; its outcome is still awaited. The server has done its work when an answer begins:
   // how long the client takes to read it says nothing of the server.
-  void On(const StreamStarted& s) {
+  void On(const ResponseStarted& s) {
     Flow* const flow = Find(s.request);
     if (flow == nullptr || s.attempt < 0 || s.attempt >= static_cast<int>(flow->attempts.size())) return;
     Attempt& attempt = flow->attempts[s.attempt];
@@ -271,33 +275,33 @@
     if (!(s.latency > 0) || std::exchange(attempt.streams, true)) return;
     attempt.server->in_flight -= std::exchange(attempt.loads, false);
     if (flow->holds) attempt.held = true, ++attempt.server->held, --out_now_;
-    Outcome begun;  // served, as far as the server goes
+    AttemptOutcome begun;  // served, as far as the server goes
     begun.latency = s.latency;
     LearnFrom(*attempt.server, *flow, begun);
   }
 
-  void On(const RequestWhole& whole) {
+  void On(const RequestBodyComplete& whole) {
     Flow* const flow = Find(whole.request);
     if (flow == nullptr || !std::exchange(flow->coming, false)) return;
     flow->arrived = now_;
     flow->leaves_at = now_ + (std::isfinite(whole.time_left) ? std::max(0.0, whole.time_left) : 0.0);
-    flow->aim_at = std::min(now_ + classes_[flow->cls].set.aim, flow->leaves_at);
+    flow->aim_at = std::min(now_ + classes_[flow->cls].set.latency_objective, flow->leaves_at);
     for (Attempt& a : flow->attempts) {
       if (a.out && !std::exchange(a.loads, true)) ++a.server->in_flight;
     }
   }
 
-  void On(const Held& held) {
-    const auto found = servers_.find(held.server);
-    if (found != servers_.end()) found->second.held = std::max(0, found->second.held + held.more);
+  void On(const TunnelCountChanged& held) {
+    const auto found = servers_.find(held.endpoint);
+    if (found != servers_.end()) found->second.held = std::max(0, found->second.held + held.delta);
   }
 
-  void On(const TimerDue&) { Sweep(); }
+  void On(const TimerExpired&) { Sweep(); }
 
   void Sweep() {
     Emit(SetTimer{kSweepEvery, "sweep"});
-    if (set_.ask_for_list && now_ >= ask_at_) {
-      Emit(Watch{});
+    if (set_.polls_endpoints && now_ >= ask_at_) {
+      Emit(PollEndpoints{});
       ask_at_ = std::numeric_limits<Millis>::infinity();
     }
     LearnReference(std::min(kLongMemory, now_ - std::exchange(swept_at_, now_)));
@@ -315,19 +319,24 @@
 Policy::~Policy() = default;
 Policy::Policy(Policy&&) noexcept = default;
 
-void Policy::handle(Millis now, const Event& event, std::vector<Action>& actions) {
+void Policy::Handle(Millis now, const Event& event, std::vector<Action>& actions) {
   impl_->Handle(now, event, actions);
 }
 
-bool Policy::knows(const std::string& server) const { return impl_->Knows(server); }
-bool Policy::may_use(const std::string& s, const std::string& r) const { return impl_->MayUse(s, r); }
-Policy::Admission Policy::admits(Millis now, const std::string& class_name, Effect effect) const {
+bool Policy::IsKnown(const std::string& server) const { return impl_->Knows(server); }
+bool Policy::IsEligible(const std::string& s, const std::string& r) const { return impl_->MayUse(s, r); }
+Policy::Admission Policy::CheckAdmission(Millis now, const std::string& class_name,
+                                         Idempotency effect) const {
   return impl_->Admits(now, class_name, effect);
 }
-Policy::Census Policy::census() const { return impl_->Count(); }
-Gossip Policy::gossip() const { return impl_->Tell(); }
-Sights Policy::sights() const { return impl_->Look(); }
-std::vector<std::pair<std::string, double>> Policy::parts() const { return impl_->parts_; }
-Recollection Policy::recall() const { return impl_->Recall(); }
+Policy::Stats Policy::CollectStats() const { return impl_->Count(); }
+Gossip Policy::CollectGossip() const { return impl_->Tell(); }
+ZoneLoadReport Policy::CollectZoneLoad() const { return impl_->Look(); }
+std::vector<Policy::ZoneWeight> Policy::ZoneWeights() const {
+  std::vector<ZoneWeight> weights;
+  for (const auto& [zone, weight] : impl_->parts_) weights.push_back({zone, weight});
+  return weights;
+}
+LearnedState Policy::Snapshot() const { return impl_->Recall(); }
 
 }  // namespace meadowyard
--- a/src/decision/queues.hpp
+++ b/src/decision/queues.hpp
@@ -45,13 +45,13 @@
   }
 
   // A gateway out of connections could only fail to send, which would cost a token and an attempt.
-  bool Room() const { return set_.most_out <= 0 || out_now_ < set_.most_out; }
+  bool Room() const { return set_.max_attempts_in_flight <= 0 || out_now_ < set_.max_attempts_in_flight; }
 
   // Room in its class's queues for a request. Returns who has to be answered for it: the request itself, one
   // beyond a share that waits no more, or nobody.
   Flow* Displaced(Flow& flow) {
     Tier& c = classes_[flow.cls];
-    const double most = spent_rate_ * c.set.aim / 1000 + 32;  // more can't be served in time
+    const double most = spent_rate_ * c.set.latency_objective / 1000 + 32;  // more can't be served in time
     if (static_cast<double>(c.Size()) < most) return nullptr;
     if (!flow.in_share || c.over_share.empty()) return &flow;
     Flow* const evicted = c.over_share.back();
--- a/src/decision/rate.hpp
+++ b/src/decision/rate.hpp
@@ -53,17 +53,18 @@
   }
 
   // Failures that one server explains eject it; only those of servers held ready move the rate.
-  void MoveRate(const Backend& b, const Flow& flow, const Outcome& outcome) {
+  void MoveRate(const Backend& b, const Flow& flow, const AttemptOutcome& outcome) {
     // A connection that breaks says nothing of crowding. Cutting for it feeds on itself: the fewer are sent,
     // the longer connections idle, and the more of them are gone at the next request.
-    if (b.suspect || outcome.result == Result::kReset) return;
+    if (b.suspect || outcome.result == AttemptResult::kReset) return;
     // Where many gateways share the servers, what turns all away or can't be reached is on its way out, and
     // it alone is left out for it: a list out of date is no jam.
-    const bool refused = outcome.result == Result::kConnectFailed || outcome.result == Result::kRejected;
+    const bool refused =
+        outcome.result == AttemptResult::kConnectFailed || outcome.result == AttemptResult::kRejected;
     if (refused && Many() && now_ - b.last_served > kLostAfter) return;
     // A server that is full rests, which is all that one server's fullness asks for where limits are kept.
-    if (outcome.result == Result::kRejected && sharers_ <= kManySharers) return;
-    const bool served = outcome.result == Result::kServed;
+    if (outcome.result == AttemptResult::kRejected && sharers_ <= kManySharers) return;
+    const bool served = outcome.result == AttemptResult::kServed;
     const bool timely = served && now_ <= flow.aim_at;
     failing_ += std::clamp(1 / (1 + rate_), kFailMemory, kErrWeight) * ((timely ? 0.0 : 1.0) - failing_);
     if (timely) {
@@ -78,7 +79,7 @@
                Crowded()) {
       rate_ = std::min(rate_, Spent()) * kCut;        // down to the floor, which Refill keeps
       cut_after_ = now_ + std::max(100.0, Median());  // one cut a round trip
-      Say("rate cut to " + std::to_string(static_cast<int>(rate_)) + "/s");
+      Say({Log::Event::kDispatchRateReduced, {}, static_cast<int>(rate_)});
     }
   }
 };
--- a/src/decision/state.hpp
+++ b/src/decision/state.hpp
@@ -48,7 +48,7 @@
 };
 
 struct Backend {
-  Server info;
+  Endpoint info;
   Kind* kind = nullptr;
   std::uint64_t hash = 0;
   bool listed = false;  // by the last list, if only to drain
@@ -124,7 +124,7 @@
 // One class: its settings, learned latency, credit and queues. A class whose settings change gets a new one,
 // and the old one stays for the requests that came under it.
 struct Tier {
-  ClassSettings set;
+  TrafficClassSettings set;
   Millis until = std::numeric_limits<Millis>::infinity();  // takes new requests until then
   int open = 0;                                            // requests that came under it and are remembered
   std::uint64_t stuck_in = 0;                              // the release that found no server for its head
@@ -200,28 +200,29 @@
   Millis in_touch_until_ = kNever;
   double share_before_ = std::numeric_limits<double>::infinity();  // reference_ when last in touch
   std::map<std::string, ZoneCounts> zones_;                        // attempts that ended, by zone
-  ZonesAgreed agreed_;
+  ZoneAgreement agreed_;
   std::vector<std::pair<std::string, double>> parts_;  // by zone; none: nothing was agreed
   double beyond_ = 0;                                  // share of requests that no zone has room for
   std::vector<std::string> subset_;                    // ids, sorted, and what they were chosen by
   std::uint64_t subset_of_ = 0;
 
   // Gateways that what all share is split among.
-  int Gateways() const { return shared_ ? present_ : set_.gateways; }
+  int Gateways() const { return shared_ ? present_ : set_.gateway_count; }
   bool InTouch() const { return now_ < in_touch_until_; }
 
   // The tier that a request of this class and effect comes under: the newest that fits, or null.
-  Tier* TierOf(const std::string& name, const std::optional<Effect>& effect, Millis now) {
+  Tier* TierOf(const std::string& name, const std::optional<Idempotency>& effect, Millis now) {
     Tier* found = nullptr;
     for (Tier& c : classes_) {
-      if (c.set.name != name || now >= c.until || (effect && !Fits(*effect, c.set.effect))) continue;
+      if (c.set.name != name || now >= c.until || (effect && !Fits(*effect, c.set.idempotency))) continue;
       if (found == nullptr || c.until > found->until) found = &c;
     }
     return found;
   }
   // A key that was sent along does no harm to a class that needs none.
-  static bool Fits(Effect asked, Effect effect) {
-    return asked == effect || (asked == Effect::kKeyed && effect == Effect::kUnsafe);
+  static bool Fits(Idempotency asked, Idempotency effect) {
+    return asked == effect ||
+           (asked == Idempotency::kIdempotencyKey && effect == Idempotency::kNonIdempotent);
   }
   // A place for a new tier: that of one nobody needs any more, if there is one.
   Tier& NewTier() {
@@ -231,23 +232,23 @@
     return classes_.emplace_back();
   }
 
-  Policy::Census Count() const {
-    Policy::Census census;
-    census.open = static_cast<int>(flows_.size());
+  Policy::Stats Count() const {
+    Policy::Stats census;
+    census.open_requests = static_cast<int>(flows_.size());
     census.queued = static_cast<int>(queued_);
-    census.sharers = Gateways();
+    census.active_gateways = Gateways();
     for (const auto& [id, b] : servers_) {
       census.in_flight += b.in_flight;
-      census.held += b.held;
-      census.listed += b.listed;
-      census.avoided += b.listed && (!b.up || b.suspect);
-      census.used += b.mine;
+      census.tunnels += b.held;
+      census.endpoints += b.listed;
+      census.unavailable += b.listed && (!b.up || b.suspect);
+      census.subset += b.mine;
     }
     return census;
   }
 
   void Sighted(const std::string& zone, bool good) {
-    if (set_.locality.on) zones_[zone].Add(now_, good);
+    if (set_.zone_routing.enabled) zones_[zone].Add(now_, good);
   }
 
   Flow* Find(const std::string& id) {
@@ -274,47 +275,52 @@
     --queued_;
   }
 
-  Recollection Recall() const {
-    Recollection r;
+  LearnedState Recall() const {
+    LearnedState r;
     for (const auto& [id, b] : servers_) {
       if (!b.listed) continue;
-      r.servers.push_back({id, b.latency, b.steady, b.base, b.limit, b.failing, b.samples, b.suspect, b.lost,
-                           b.last_served, b.cold_since, b.cold_credit});
+      r.endpoints.push_back({id, b.latency, b.steady, b.base, b.limit, b.failing, b.samples, b.suspect,
+                             b.lost, b.last_served, b.cold_since, b.cold_credit});
     }
     for (const auto& [name, k] : kinds_) r.kinds.push_back({name, k.latency, k.steady, k.base, k.samples});
     for (const Tier& c : classes_) r.classes.push_back({c.set.name, c.latency, c.most_left, c.samples});
-    r.out_by_hand.assign(out_by_hand_.begin(), out_by_hand_.end());
-    r.rate = rate_, r.spent_rate = spent_rate_, r.arriving = arriving_, r.failing = failing_;
-    r.unserved = unserved_, r.warm_served = warm_served_, r.warm_time = warm_time_;
+    r.in_maintenance.assign(out_by_hand_.begin(), out_by_hand_.end());
+    r.rate = rate_, r.dispatch_rate = spent_rate_, r.arrival_rate = arriving_, r.untimely_share = failing_;
+    r.failure_rate = unserved_, r.warm_responses = warm_served_, r.warm_time = warm_time_;
     r.mean_latency = mean_latency_, r.samples = samples_;
     return r;
   }
 
-  void Remember(const Recollection& r) {
+  void Remember(const LearnedState& r) {
     for (const auto& of : r.kinds) {
       Kind& k = kinds_[of.name];
-      k.latency = of.latency, k.steady = of.steady, k.base = of.base, k.samples = of.samples;
+      k.latency = of.latency, k.steady = of.average_latency, k.base = of.uncongested_latency,
+      k.samples = of.samples;
     }
-    for (const auto& of : r.servers) {
+    for (const auto& of : r.endpoints) {
       const auto found = servers_.find(of.id);
       if (found == servers_.end()) continue;
       Backend& b = found->second;
-      b.latency = of.latency, b.steady = of.steady, b.base = of.base, b.samples = of.samples;
-      if (of.limit > 0) b.limit = of.limit, b.places = std::max(1.0, std::floor(of.limit));
-      b.failing = of.failing, b.suspect = of.suspect, b.lost = of.lost, b.last_served = of.last_served;
-      b.cold_since = std::max(b.cold_since, of.cold_since);
-      b.cold_credit = std::min(b.cold_credit, of.cold_credit);
+      b.latency = of.latency, b.steady = of.average_latency, b.base = of.uncongested_latency,
+      b.samples = of.samples;
+      if (of.concurrency_limit > 0)
+        b.limit = of.concurrency_limit, b.places = std::max(1.0, std::floor(of.concurrency_limit));
+      b.failing = of.failure_rate, b.suspect = of.ejected, b.lost = of.connection_failed,
+      b.last_served = of.last_served_at;
+      b.cold_since = std::max(b.cold_since, of.started_at);
+      b.cold_credit = std::min(b.cold_credit, of.slow_start_credit);
     }
     for (const auto& of : r.classes) {
       Tier* const c = TierOf(of.name, std::nullopt, now_);
-      if (c != nullptr) c->latency = of.latency, c->most_left = of.most_left, c->samples = of.samples;
+      if (c != nullptr)
+        c->latency = of.latency, c->most_left = of.observed_time_budget, c->samples = of.samples;
     }
-    for (const std::string& id : r.out_by_hand) {
+    for (const std::string& id : r.in_maintenance) {
       out_by_hand_.insert(id);
       if (const auto found = servers_.find(id); found != servers_.end()) found->second.up = false;
     }
-    rate_ = r.rate, spent_rate_ = r.spent_rate, arriving_ = r.arriving, failing_ = r.failing;
-    unserved_ = r.unserved, warm_served_ = r.warm_served, warm_time_ = r.warm_time;
+    rate_ = r.rate, spent_rate_ = r.dispatch_rate, arriving_ = r.arrival_rate, failing_ = r.untimely_share;
+    unserved_ = r.failure_rate, warm_served_ = r.warm_responses, warm_time_ = r.warm_time;
     mean_latency_ = r.mean_latency, samples_ = r.samples;
   }
 
--- a/src/decision/trust.hpp
+++ b/src/decision/trust.hpp
@@ -57,7 +57,7 @@
     // One that has lost the others keeps the share it had: their clients may come here while they still send.
     const double reference = shared_ && !InTouch() ? std::min(reference_, share_before_) : reference_;
     const double earned =
-        kColdShare * set_.fall_multiple * warmth * b.info.weight * reference * (now_ - b.credit_at);
+        kColdShare * set_.overload_multiple * warmth * b.info.weight * reference * (now_ - b.credit_at);
     if (b.cold_credit < 1) b.filled_at = now_;
     b.cold_credit = std::min(1.0, b.cold_credit + earned);
     b.credit_at = now_;
@@ -83,7 +83,7 @@
     if (InTouch()) share_before_ = reference_;
   }
 
-  double Slack() const { return set_.warm_keys ? kWarmSlack : kSlack; }
+  double Slack() const { return set_.key_affinity ? kWarmSlack : kSlack; }
 
   bool Ready(Backend& b, bool in_share) {
     // Where many share a server, a limit each is a fraction of a request learned from next to nothing. There
@@ -97,7 +97,7 @@
 
   void Suspect(Backend& b) {
     if (!std::exchange(b.suspect, true)) {
-      Say("server " + b.info.id + " not ready: failing");
+      Say({Log::Event::kEndpointEjected, b.info.id});
       ChooseSubset();
     }
     b.next_trial = now_;
@@ -135,9 +135,9 @@
 
   double BackBelow() const { return kErrBack + unserved_; }
 
-  void Judge(Backend& b, const Flow& flow, const Outcome& outcome) {
-    const bool served = outcome.result == Result::kServed;
-    if (outcome.result == Result::kRejected) {  // full is not ill; its latency shows the crowding
+  void Judge(Backend& b, const Flow& flow, const AttemptOutcome& outcome) {
+    const bool served = outcome.result == AttemptResult::kServed;
+    if (outcome.result == AttemptResult::kRejected) {  // full is not ill; its latency shows the crowding
       // Resting it keeps its quick refusals, which leave it idle, from drawing ever more to it.
       b.rests_until = std::max(b.rests_until, now_ + b.latency);
       if (Many()) b.failing += kErrWeight * (1 - b.failing);
@@ -147,16 +147,17 @@
       return;
     }
     // A crowded server fails connections too: only one that long served nothing may be a new process.
-    const bool dropped = outcome.result == Result::kConnectFailed || outcome.result == Result::kReset;
+    const bool dropped =
+        outcome.result == AttemptResult::kConnectFailed || outcome.result == AttemptResult::kReset;
     if (dropped && b.failing >= kErrWeight && now_ - b.last_served > kLostAfter) b.lost = true;
     // One slow request among others that were answered meanwhile says nothing about the server.
-    const bool heavy = outcome.result == Result::kTimedOut && b.last_served > now_ - outcome.latency;
+    const bool heavy = outcome.result == AttemptResult::kTimedOut && b.last_served > now_ - outcome.latency;
     if (served) b.last_served = now_;
     if (served && Warmth(b) >= 1) warm_served_ += 1;
     if (!heavy) b.failing += kErrWeight * ((served ? 0.0 : 1.0) - b.failing);
     // Where many gateways overbook the list service, servers that have gone stay listed for long: each speaks
     // for itself alone, or with most of them gone none would be left out.
-    const bool absent = outcome.result == Result::kConnectFailed && Many();
+    const bool absent = outcome.result == AttemptResult::kConnectFailed && Many();
     if (!heavy && !absent && !b.suspect) unserved_ += kErrAll * ((served ? 0.0 : 1.0) - unserved_);
     if (served && b.suspect) {
       b.next_trial = now_;
@@ -164,7 +165,7 @@
       b.suspect = b.failing >= BackBelow();
       if (b.lost) Renew(b, now_);
       if (!b.suspect) {
-        Say("server " + b.info.id + " ready again");
+        Say({Log::Event::kEndpointRestored, b.info.id});
         b.recovered_at = now_;
         ChooseSubset();
       }
@@ -213,7 +214,8 @@
 
   // A server that keeps warm for its keys holds more before it is crowded, from the start on.
   double StartLimit() const {
-    return (busy_at_ < set_.report_fields.size() ? kReportStart : kStartLimit * Slack() / kSlack) / sharers_;
+    return (busy_at_ < set_.load_report_fields.size() ? kReportStart : kStartLimit * Slack() / kSlack) /
+           sharers_;
   }
 
   double LeastLimit() const { return kLeastLimit / sharers_; }
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -25,16 +25,16 @@
 constexpr Millis kToRead = 100;      // what lies in the socket then
 constexpr std::size_t kMostList = 8 << 20;
 
-ServerState ToState(const std::string& phase) {
-  if (phase == "up") return ServerState::kUp;
-  if (phase == "draining") return ServerState::kDraining;
-  if (phase == "removed") return ServerState::kGone;
+EndpointState ToState(const std::string& phase) {
+  if (phase == "up") return EndpointState::kUp;
+  if (phase == "draining") return EndpointState::kDraining;
+  if (phase == "removed") return EndpointState::kRemoved;
   throw std::invalid_argument("phase");
 }
 
 Host ToHost(const json& entry) {
   Host host;
-  Server& server = host.server;
+  Endpoint& server = host.server;
   server.id = entry.at("id").get<std::string>();
   if (server.id.empty()) throw std::invalid_argument("id");
   server.state = ToState(entry.at("phase").get<std::string>());
@@ -44,7 +44,7 @@
   server.weight = entry.value("size", 1.0);
   server.started_at = entry.value("up_since_ms", 0.0);
   const auto address = ParseEndpoint(entry.value("host_port", ""));
-  if (!address && server.state != ServerState::kGone) throw std::invalid_argument("host_port");
+  if (!address && server.state != EndpointState::kRemoved) throw std::invalid_argument("host_port");
   if (address) host.address = *address;
   return host;
 }
@@ -70,14 +70,14 @@
 std::string ToText(const HostList& list) {
   json members = json::array();
   for (const Host& host : list.hosts) {
-    const Server& s = host.server;
+    const Endpoint& s = host.server;
     members.push_back({{"id", s.id},
                        {"host_port", ToText(host.address)},
                        {"locality", s.zone},
                        {"flavor", s.kind},
-                       {"phase", s.state == ServerState::kUp         ? "up"
-                                 : s.state == ServerState::kDraining ? "draining"
-                                                                     : "removed"},
+                       {"phase", s.state == EndpointState::kUp         ? "up"
+                                 : s.state == EndpointState::kDraining ? "draining"
+                                                                       : "removed"},
                        {"size", s.weight},
                        {"up_since_ms", s.started_at}});
     // As it came: a number, or any other JSON.
--- a/src/discovery/discovery.hpp
+++ b/src/discovery/discovery.hpp
@@ -18,7 +18,7 @@
 namespace meadowyard {
 
 struct Host {
-  Server server;
+  Endpoint server;
   boost::asio::ip::tcp::endpoint address;
 };
 
--- a/src/discovery/times.hpp
+++ b/src/discovery/times.hpp
@@ -16,9 +16,9 @@
 
 // A watch that falls silent as its call begins; a connection that comes up and is silent from then on; a
 // dial.
-static_assert(kWait + kSilence + kWatchAgain + kDial <= kToldWithin);
-static_assert(kFirstAnswer + kWatchAgain + kLeastLeft <= kToldWithin);
-static_assert(kDial + kWatchAgain + kLeastLeft <= kToldWithin);
+static_assert(kWait + kSilence + kMaxPollBackoff + kDial <= kToldWithin);
+static_assert(kFirstAnswer + kMaxPollBackoff + kLeastLeft <= kToldWithin);
+static_assert(kDial + kMaxPollBackoff + kLeastLeft <= kToldWithin);
 
 }  // namespace meadowyard
 
--- a/src/duties/words.cpp
+++ b/src/duties/words.cpp
@@ -39,7 +39,8 @@
 json Body(const ListWanted& w) { return {{"wanted", true}, {"token", w.token}}; }
 json Body(const ZonesWord& w) {
   json zones = json::array();
-  for (const ZonesAgreed::Zone& z : w.state.zones) zones.push_back({z.name, z.health, z.size, z.demand});
+  for (const ZoneAgreement::Zone& z : w.state.zones)
+    zones.push_back({z.name, z.health, z.capacity, z.demand});
   return {{"stand", static_cast<std::uint64_t>(w.kind)},
           {"token", w.token},
           {"term", w.state.term},
--- a/src/duties/words.hpp
+++ b/src/duties/words.hpp
@@ -36,7 +36,7 @@
 struct ZonesWord {
   enum class Kind { kOffer, kAgreed, kKnown } kind = Kind::kOffer;
   Token token = 0;  // of the holder; none of one that knows better
-  ZonesAgreed state;
+  ZoneAgreement state;
 };
 // To the holder: the sender goes along with what it offered.
 struct ZonesVote {
--- a/src/duties/zone_duty.cpp
+++ b/src/duties/zone_duty.cpp
@@ -26,7 +26,7 @@
   }
 }
 
-void ZoneDuty::Beat(Millis now, double chance, const Sights& own) {
+void ZoneDuty::Beat(Millis now, double chance, const ZoneLoadReport& own) {
   See(now, self_, own);
   std::vector<Lease::Letter> letters;
   lease_.Pass(now, chance, letters);
@@ -41,7 +41,7 @@
   if (agreed_.term > 0) ToOthers(ZonesWord{ZonesWord::Kind::kAgreed, lease_.token(), agreed_});
 }
 
-void ZoneDuty::Offer(Millis now, std::vector<ZonesAgreed::Zone> zones) {
+void ZoneDuty::Offer(Millis now, std::vector<ZoneAgreement::Zone> zones) {
   offer_ = {lease_.token(), agreed_.version + 1, std::move(zones)};
   votes_.clear();
   offered_at_ = now;
@@ -57,7 +57,7 @@
   ToOthers(ZonesWord{ZonesWord::Kind::kAgreed, lease_.token(), agreed_});
 }
 
-void ZoneDuty::Adopt(Millis now, const ZonesAgreed& state) {
+void ZoneDuty::Adopt(Millis now, const ZoneAgreement& state) {
   judge_.Agreed(now, agreed_.zones, state.zones);
   agreed_ = state;
   ++changes_;
@@ -77,7 +77,7 @@
 void ZoneDuty::Hear(Millis now, int from, const ZonesWord& word) {
   // More than half had agreed on it, whoever says so.
   if (word.kind == ZonesWord::Kind::kKnown) {
-    if (word.state.After(agreed_)) Adopt(now, word.state);
+    if (word.state.IsNewerThan(agreed_)) Adopt(now, word.state);
     return;
   }
   if (word.token < acted_) {
@@ -88,9 +88,9 @@
   lease_.Seen(word.token);
   if (word.kind == ZonesWord::Kind::kOffer) {
     if (now >= votes_from_) handlers_.send(from, ZonesVote{word.token, word.state.version});
-  } else if (word.state.After(agreed_)) {
+  } else if (word.state.IsNewerThan(agreed_)) {
     Adopt(now, word.state);
-  } else if (agreed_.After(word.state)) {
+  } else if (agreed_.IsNewerThan(word.state)) {
     handlers_.send(from, ZonesWord{ZonesWord::Kind::kKnown, 0, agreed_});
   }
 }
@@ -104,8 +104,8 @@
 
 nlohmann::json ZoneDuty::Status(Millis now) const {
   nlohmann::json zones = nlohmann::json::array();
-  for (const ZonesAgreed::Zone& z : agreed_.zones)
-    zones.push_back({{"name", z.name}, {"health", z.health}, {"size", z.size}, {"demand", z.demand}});
+  for (const ZoneAgreement::Zone& z : agreed_.zones)
+    zones.push_back({{"name", z.name}, {"health", z.health}, {"size", z.capacity}, {"demand", z.demand}});
   return {{"holds", lease_.Holds(now)}, {"holder", lease_.Holder(now)}, {"term", agreed_.term},
           {"version", agreed_.version}, {"agreed", std::move(zones)},   {"offered", offered_},
           {"changes", changes_},        {"turned_down", turned_down_}};
--- a/src/duties/zone_duty.hpp
+++ b/src/duties/zone_duty.hpp
@@ -21,7 +21,7 @@
  public:
   struct Handlers {
     std::function<void(int to, const DutyWord&)> send;
-    std::function<void(const ZonesAgreed&)> agreed;  // to go by from now on
+    std::function<void(const ZoneAgreement&)> agreed;  // to go by from now on
   };
   struct Times {
     Lease::Times lease;
@@ -31,11 +31,11 @@
   ZoneDuty(int self, int gateways, Times times, Millis now, Token least, Handlers handlers);
 
   // To be called again and again, with what this gateway sees itself; `chance` as in Lease.
-  void Beat(Millis now, double chance, const Sights& own);
-  void See(Millis now, int gateway, const Sights& sights) { judge_.See(now, gateway, sights); }
+  void Beat(Millis now, double chance, const ZoneLoadReport& own);
+  void See(Millis now, int gateway, const ZoneLoadReport& sights) { judge_.See(now, gateway, sights); }
   void Hear(Millis now, int from, const DutyWord& word);
   void Stopping();
-  const ZonesAgreed& agreed() const { return agreed_; }
+  const ZoneAgreement& agreed() const { return agreed_; }
   nlohmann::json Status(Millis now) const;
 
  private:
@@ -46,17 +46,17 @@
   void Hear(Millis, int, const ListWanted&) {}
   void Post(const std::vector<Lease::Letter>& letters);
   void ToOthers(const DutyWord& word);
-  void Offer(Millis now, std::vector<ZonesAgreed::Zone> zones);
+  void Offer(Millis now, std::vector<ZoneAgreement::Zone> zones);
   void Count(Millis now, int from);
-  void Adopt(Millis now, const ZonesAgreed& state);
+  void Adopt(Millis now, const ZoneAgreement& state);
 
   const int self_, gateways_;
   const Times times_;
   const Handlers handlers_;
   Lease lease_;
   ZoneJudge judge_;
-  ZonesAgreed agreed_;
-  std::optional<ZonesAgreed> offer_;
+  ZoneAgreement agreed_;
+  std::optional<ZoneAgreement> offer_;
   std::set<int> votes_;
   Millis offered_at_ = 0;
   Token acted_ = 0;    // the highest that an action came with
--- a/src/duties/zone_judge.cpp
+++ b/src/duties/zone_judge.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-void ZoneJudge::See(Millis now, int gateway, const Sights& sights) { seen_[gateway] = {now, sights}; }
+void ZoneJudge::See(Millis now, int gateway, const ZoneLoadReport& sights) { seen_[gateway] = {now, sights}; }
 
 std::map<std::string, ZoneJudge::Now> ZoneJudge::Look(Millis now) {
   struct Sum {
@@ -35,15 +35,15 @@
   std::map<std::string, Now> all;
   for (const auto& [gateway, seen] : seen_) {
     // Whoever can't be heard for now still has its clients, who come along when it is heard again.
-    if (now - seen.at < kDemandMemory) all[seen.sights.zone].demand += seen.sights.arriving;
+    if (now - seen.at < kDemandMemory) all[seen.sights.zone].demand += seen.sights.arrival_rate;
     if (now - seen.at >= times_.fresh) continue;
-    for (const ZoneSight& z : seen.sights.zones) {
+    for (const ZoneLoad& z : seen.sights.zones) {
       Now& zone = all[z.zone];
-      zone.size = std::max(zone.size, z.size);
+      zone.size = std::max(zone.size, z.capacity);
       const bool own = z.zone == seen.sights.zone;
-      if (!own && z.ended < kEnough) continue;
+      if (!own && z.completed < kEnough) continue;
       Sum& sum = (own ? near : far)[z.zone];
-      sum.fit += z.fit, sum.ended += z.ended, sum.good += z.good, ++sum.from;
+      sum.fit += z.available, sum.ended += z.completed, sum.good += z.within_objective, ++sum.from;
     }
   }
   for (const auto& [name, known] : zones_) all[name];  // those that nobody sees any more, too
@@ -87,20 +87,20 @@
   return level;
 }
 
-std::optional<std::vector<ZonesAgreed::Zone>> ZoneJudge::Wants(Millis now,
-                                                               const std::vector<ZonesAgreed::Zone>& agreed) {
+std::optional<std::vector<ZoneAgreement::Zone>> ZoneJudge::Wants(
+    Millis now, const std::vector<ZoneAgreement::Zone>& agreed) {
   const auto fresh = std::count_if(seen_.begin(), seen_.end(),
                                    [&](const auto& s) { return now - s.second.at < times_.fresh; });
   if (2 * fresh <= gateways_) return std::nullopt;
   auto all = Look(now);
   bool changed = false, moved = false;
-  std::vector<ZonesAgreed::Zone> next = agreed;
-  for (ZonesAgreed::Zone& z : next) {
+  std::vector<ZoneAgreement::Zone> next = agreed;
+  for (ZoneAgreement::Zone& z : next) {
     const Now& seen = all[z.name];
     Zone& zone = zones_[z.name];
     const double level = Next(now, zone, z.health, Target(now, seen, z.health));
     changed = changed || level != z.health;
-    z.health = level, z.size = seen.size;
+    z.health = level, z.capacity = seen.size;
     moved =
         moved || std::abs(seen.demand - z.demand) > kDemandMoves * std::max(seen.demand, z.demand) + kLittle;
     z.demand = seen.demand;
@@ -115,10 +115,10 @@
   return next;
 }
 
-void ZoneJudge::Agreed(Millis now, const std::vector<ZonesAgreed::Zone>& before,
-                       const std::vector<ZonesAgreed::Zone>& after) {
+void ZoneJudge::Agreed(Millis now, const std::vector<ZoneAgreement::Zone>& before,
+                       const std::vector<ZoneAgreement::Zone>& after) {
   changed_at_ = now;
-  for (const ZonesAgreed::Zone& z : after) {
+  for (const ZoneAgreement::Zone& z : after) {
     const auto old =
         std::find_if(before.begin(), before.end(), [&](const auto& b) { return b.name == z.name; });
     if (old == before.end() || old->health == z.health) continue;
--- a/src/duties/zone_judge.hpp
+++ b/src/duties/zone_judge.hpp
@@ -25,19 +25,19 @@
   };
   ZoneJudge(int gateways, Times times) : gateways_(gateways), times_(times) {}
 
-  void See(Millis now, int gateway, const Sights& sights);
+  void See(Millis now, int gateway, const ZoneLoadReport& sights);
   // What is in force changes: rests begin anew from there.
-  void Agreed(Millis now, const std::vector<ZonesAgreed::Zone>& before,
-              const std::vector<ZonesAgreed::Zone>& after);
+  void Agreed(Millis now, const std::vector<ZoneAgreement::Zone>& before,
+              const std::vector<ZoneAgreement::Zone>& after);
   // What should be agreed in place of `agreed`, or nothing. To be asked again and again by whoever may
   // propose.
-  std::optional<std::vector<ZonesAgreed::Zone>> Wants(Millis now,
-                                                      const std::vector<ZonesAgreed::Zone>& agreed);
+  std::optional<std::vector<ZoneAgreement::Zone>> Wants(Millis now,
+                                                        const std::vector<ZoneAgreement::Zone>& agreed);
 
  private:
   struct Seen {
     Millis at = 0;
-    Sights sights;
+    ZoneLoadReport sights;
   };
   struct Zone {
     double size = 0;  // with all its servers: the most that was seen, slowly forgotten
--- a/src/edge/edge_config.cpp
+++ b/src/edge/edge_config.cpp
@@ -28,13 +28,13 @@
 }
 
 void ReadTunnels(TableReader in, EdgeConfig& config) {
-  ClassSettings& c = config.tunnel;
+  TrafficClassSettings& c = config.tunnel;
   c.name = ReadName(in, "class");
-  c.effect = Effect::kUnsafe;  // once a byte may have gone, never again
-  c.aim = in.Number("aim_ms", 2000, 1, kMostTime);
+  c.idempotency = Idempotency::kNonIdempotent;  // once a byte may have gone, never again
+  c.latency_objective = in.Number("aim_ms", 2000, 1, kMostTime);
   c.deadline = in.Number("open_within_ms", 5000, 100, kMostTime);
-  if (c.aim > c.deadline) in.Fail("aim_ms", "is more than open_within_ms");
-  c.worth = in.Number("worth", 1, 0, 1e6);
+  if (c.latency_objective > c.deadline) in.Fail("aim_ms", "is more than open_within_ms");
+  c.priority_weight = in.Number("worth", 1, 0, 1e6);
   TunnelLimits& l = config.limits;
   l.most = in.Count("most", l.most, 1, 1e6);
   l.most_per_address = in.Count("most_per_address", l.most, 1, 1e6);
--- a/src/edge/edge_config.hpp
+++ b/src/edge/edge_config.hpp
@@ -63,8 +63,8 @@
 };
 
 struct EdgeConfig {
-  std::string path, text;  // as it was read
-  ClassSettings tunnel;    // the class that tunnels come under
+  std::string path, text;       // as it was read
+  TrafficClassSettings tunnel;  // the class that tunnels come under
   TunnelLimits limits;
   std::vector<EdgeListener> listeners;
   std::vector<EdgeUser> users;
--- a/src/fronts/http/client_server.hpp
+++ b/src/fronts/http/client_server.hpp
@@ -40,7 +40,7 @@
   struct Handlers {
     std::function<bool()> ready;
     std::function<bool()> room;  // there is memory for more
-    std::function<Policy::Admission(const std::string& class_name, Effect effect)> admits;
+    std::function<Policy::Admission(const std::string& class_name, Idempotency effect)> admits;
     std::function<void(ClientRequest)> taken;
     std::function<void(const std::string& id)> whole;  // the body that was still coming is whole
     std::function<void(const std::string& id)> gone;   // the client of an unanswered request has left
--- a/src/fronts/http/request_rules.cpp
+++ b/src/fronts/http/request_rules.cpp
@@ -127,12 +127,15 @@
   // A repeat of a request that is not safe must be possible to tell from its class and method alike.
   const bool get = head.method() == http::verb::get;
   const bool keyed = !named.idempotency.empty();
-  request.effect = get ? Effect::kSafe : keyed ? Effect::kKeyed : Effect::kUnsafe;
+  request.effect = get     ? Idempotency::kIdempotent
+                   : keyed ? Idempotency::kIdempotencyKey
+                           : Idempotency::kNonIdempotent;
   const auto admission = admits(request.class_name, request.effect);
-  if (admission == Policy::Admission::kNoClass) return FaultPage(400, "Req-Kind names no class");
+  if (admission == Policy::Admission::kUnknownClass) return FaultPage(400, "Req-Kind names no class");
   if (!get && head.method() != http::verb::post) return FaultPage(405, "the class takes another method");
-  if (admission == Policy::Admission::kNoEffect) {
-    const bool lacks_key = !get && admits(request.class_name, Effect::kKeyed) == Policy::Admission::kYes;
+  if (admission == Policy::Admission::kIdempotencyMismatch) {
+    const bool lacks_key =
+        !get && admits(request.class_name, Idempotency::kIdempotencyKey) == Policy::Admission::kAccepted;
     return lacks_key ? FaultPage(400, "Idempotency-Key is missing")
                      : FaultPage(405, "the class takes another method");
   }
--- a/src/fronts/http/request_rules.hpp
+++ b/src/fronts/http/request_rules.hpp
@@ -28,7 +28,7 @@
 std::string HeadText(const Page& page, unsigned version, bool keep_alive, std::optional<std::uint64_t> length,
                      bool chunked);
 
-using Admits = std::function<Policy::Admission(const std::string& class_name, Effect effect)>;
+using Admits = std::function<Policy::Admission(const std::string& class_name, Idempotency effect)>;
 using RequestHead = boost::beast::http::request_header<>;
 
 // Fills in what `head` says of `request`, or gives the page for whoever sent what can't be taken.
--- a/src/fronts/tunnel/session.cpp
+++ b/src/fronts/tunnel/session.cpp
@@ -142,7 +142,7 @@
   request.call.target = facts_.to;
   request.id = request_;
   request.class_name = config_->tunnel.name;
-  request.effect = Effect::kUnsafe;
+  request.effect = Idempotency::kNonIdempotent;
   request.tunnel = true;
   if (route_->kind == Route::Kind::kHost) request.only = route_->host;
   for (const EdgeUser& user : config_->users) {
--- a/src/lab/faulty_gateway.cpp
+++ b/src/lab/faulty_gateway.cpp
@@ -53,7 +53,7 @@
     // One fault is to go on with what was told once.
     if (list.complete && fault_ != Fault::kDrain) hosts_.clear();
     for (const Host& host : list.hosts) {
-      if (host.server.state == ServerState::kUp) {
+      if (host.server.state == EndpointState::kUp) {
         hosts_[host.server.id] = {host.address, host.server.started_at};
       } else if (fault_ != Fault::kDrain) {
         hosts_.erase(host.server.id);
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -70,7 +70,7 @@
   identity.kind = kind;
   identity.drops_waiting = experiment_.fleet.drops_waiting;
   for (const ClassSpec& c : experiment_.classes) {
-    if (c.effect == Effect::kUnsafe) identity.unsafe.push_back(c.name);
+    if (c.effect == Idempotency::kNonIdempotent) identity.unsafe.push_back(c.name);
   }
   ledger_.hosts.push_back(identity.id);
   ledger_.halls.push_back(hall);
@@ -178,7 +178,7 @@
     const auto known = std::find(ledger_.hosts.begin(), ledger_.hosts.end(), host.server.id);
     if (known == ledger_.hosts.end()) continue;
     ledger_.told.push_back({Clock(), to, static_cast<std::int32_t>(known - ledger_.hosts.begin()),
-                            host.server.state == ServerState::kUp});
+                            host.server.state == EndpointState::kUp});
   }
 }
 
--- a/src/lab/fleet_figures.cpp
+++ b/src/lab/fleet_figures.cpp
@@ -206,27 +206,27 @@
   const Millis began = Clock();
   size = std::max(size, (2 * hosts + gateways - 1) / gateways);  // as the module does: two gateways a host
   Random random(seed, "cold");
-  ServerNews news;
+  EndpointUpdate news;
   std::vector<Subsets::Item> items;
   for (std::size_t i = 0; i < hosts; ++i) {
-    Server server;
+    Endpoint server;
     server.id = "h" + std::to_string(i);
     items.push_back({0, Hash(server.id)});
-    news.servers.push_back(server);
+    news.endpoints.push_back(server);
   }
   const Choice choice = Choose(items, gateways, size);
   const auto loads = Loads(choice, hosts);
   const auto cold = static_cast<std::size_t>(std::max_element(loads.begin(), loads.end()) - loads.begin());
 
   Settings settings;
-  ClassSettings c;
-  c.name = "view", c.aim = 600, c.deadline = 1500, c.effect = Effect::kSafe;
+  TrafficClassSettings c;
+  c.name = "view", c.latency_objective = 600, c.deadline = 1500, c.idempotency = Idempotency::kIdempotent;
   settings.classes = {c};
-  settings.gateways = static_cast<int>(gateways), settings.subset = static_cast<int>(size);
-  settings.cold_from = 0.13, settings.cold_for = 15000, settings.fall_multiple = 2.5;
+  settings.gateway_count = static_cast<int>(gateways), settings.subset_size = static_cast<int>(size);
+  settings.slow_start_fraction = 0.13, settings.slow_start_duration = 15000, settings.overload_multiple = 2.5;
   KindSpec kind;
-  kind.cores = 2, kind.cold_from = settings.cold_from, kind.cold_for = settings.cold_for;
-  kind.fall_multiple = settings.fall_multiple;
+  kind.cores = 2, kind.cold_from = settings.slow_start_fraction, kind.cold_for = settings.slow_start_duration;
+  kind.fall_multiple = settings.overload_multiple;
   HostModel host(kind);
   const double rate = 0.5 * kind.cores / kWork * static_cast<double>(hosts) / static_cast<double>(gateways);
 
@@ -240,16 +240,16 @@
   std::vector<Policy> users;
   const auto act = [&](Millis now, std::size_t user, const Event& event) {
     std::vector<Action> actions;
-    users[user].handle(now, event, actions);
+    users[user].Handle(now, event, actions);
     for (const Action& action : actions) {
       if (const auto* const timer = std::get_if<SetTimer>(&action))
-        due.push({now + timer->delay, user, TimerDue{timer->name}});
-      const auto* const send = std::get_if<Send>(&action);
+        due.push({now + timer->delay, user, TimerExpired{timer->name}});
+      const auto* const send = std::get_if<StartAttempt>(&action);
       if (send == nullptr) continue;
       const Millis work = random.Exponential(kWork);
-      if (send->server == news.servers[cold].id) host.Offer(now, 1, work, 0);
-      Outcome outcome;
-      outcome.request = send->request, outcome.server = send->server, outcome.latency = work;
+      if (send->endpoint == news.endpoints[cold].id) host.Offer(now, 1, work, 0);
+      AttemptOutcome outcome;
+      outcome.request = send->request, outcome.endpoint = send->endpoint, outcome.latency = work;
       due.push({now + work, user, outcome});
     }
   };
@@ -258,11 +258,12 @@
     if (std::binary_search(choice[place].begin(), choice[place].end(), cold)) places.push_back(place);
   }
   for (const std::size_t place : places) {
-    settings.index = static_cast<int>(place);
+    settings.gateway_index = static_cast<int>(place);
     users.emplace_back(settings, seed + place);
     const std::size_t user = users.size() - 1;
     act(0, user, news);
-    act(0, user, PeerNews{settings.gateways, settings.gateways, settings.index, 1e12, {}});
+    act(0, user,
+        MembershipUpdate{settings.gateway_count, settings.gateway_count, settings.gateway_index, 1e12, {}});
     due.push({random.Exponential(1 / rate), user, Request()});
   }
   ColdFigures f;
@@ -276,8 +277,8 @@
     if (!restarted && next.at >= kWarm) {
       restarted = true;
       host.Start(next.at, true);
-      ServerNews start{ServerNews::Kind::kDelta, {news.servers[cold]}};
-      start.servers[0].started_at = next.at;
+      EndpointUpdate start{EndpointUpdate::Kind::kDelta, {news.endpoints[cold]}};
+      start.endpoints[0].started_at = next.at;
       for (std::size_t user = 0; user < users.size(); ++user) act(next.at, user, start);
     }
     if (auto* const request = std::get_if<Request>(&next.event)) {
--- a/src/lab/load.cpp
+++ b/src/lab/load.cpp
@@ -200,15 +200,15 @@
   std::string head = fmt::format(
       "{} /api HTTP/1.1\r\nHost: shop.lab\r\nReq-Id: {:016x}\r\nReq-Kind: {}\r\nReq-Key: {}\r\n"
       "Req-Deadline: {}u\r\nReq-Extra: work={:.4f},answer={}\r\n",
-      c.effect == Effect::kSafe ? "GET" : "POST", t.id, c.name, a.key,
+      c.effect == Idempotency::kIdempotent ? "GET" : "POST", t.id, c.name, a.key,
       static_cast<std::int64_t>(std::max(1.0, left * 1000)), a.work, c.answer_bytes);
   if (a.tenant >= 0)
     head += fmt::format("Req-Owner: {}\r\n", experiment_.tenants[static_cast<std::size_t>(a.tenant)].name);
   if (a.hint >= 0) head += fmt::format("Req-Cost: {}\r\n", static_cast<std::int64_t>(a.hint * 1000));
   if (t.number > 0) head += "Req-Retry: 1\r\n";
-  if (c.effect == Effect::kKeyed)
+  if (c.effect == Idempotency::kIdempotencyKey)
     head += fmt::format("Idempotency-Key: {:016x}\r\n", arrivals_[t.arrival].id);
-  if (c.effect != Effect::kSafe) head += fmt::format("Content-Length: {}\r\n", c.body_bytes);
+  if (c.effect != Idempotency::kIdempotent) head += fmt::format("Content-Length: {}\r\n", c.body_bytes);
   if (!experiment_.load.keep) head += "Connection: close\r\n";
   return head += "\r\n";
 }
@@ -221,7 +221,7 @@
   const ClassSpec& c = experiment_.classes[arrivals_[t.arrival].cls];
   std::string text = Head(t);
   const bool slow = c.body_bytes > 0 && random_.Chance(experiment_.load.slow_writers);
-  if (c.effect != Effect::kSafe && !slow) text.append(filler_, 0, c.body_bytes);
+  if (c.effect != Idempotency::kIdempotent && !slow) text.append(filler_, 0, c.body_bytes);
   connection->writing = slow;
   connection->stream->Write(text);
   if (slow) WriteOn(connection, index, 0);
@@ -316,7 +316,7 @@
   const ClassSpec& c = experiment_.classes[arrivals_[t.arrival].cls];
   const bool never_ran = t.outcome == Try::Outcome::kRefused || t.outcome == Try::Outcome::kNoConnect;
   if (stopped_ || t.number >= experiment_.load.retries || t.outcome == Try::Outcome::kGaveUp) return;
-  if (!never_ran && c.effect != Effect::kSafe) return;
+  if (!never_ran && c.effect != Idempotency::kIdempotent) return;
   const Millis wait = std::max(experiment_.load.retry_wait * random_.Between(0.5, 1.5), t.retry_after);
   retries_.emplace(Clock() + wait, std::pair(t.arrival, static_cast<std::uint16_t>(t.number + 1)));
 }
--- a/src/lab/spec.cpp
+++ b/src/lab/spec.cpp
@@ -177,8 +177,10 @@
   for (const ClassSpec& other : e.classes) {
     if (other.name == c.name) s.Fail(s.Find("name"), "name", "'" + c.name + "' is there twice");
   }
-  s.Choice<Effect>("repeats", c.effect,
-                   {{"safe", Effect::kSafe}, {"keyed", Effect::kKeyed}, {"never", Effect::kUnsafe}});
+  s.Choice<Idempotency>("repeats", c.effect,
+                        {{"safe", Idempotency::kIdempotent},
+                         {"keyed", Idempotency::kIdempotencyKey},
+                         {"never", Idempotency::kNonIdempotent}});
   s.Number("aim_ms", c.aim, 1, 1e6);
   s.Number("deadline_ms", c.deadline, 1, 1e6);
   if (c.deadline < c.aim) s.Fail(s.Find("deadline_ms"), "deadline_ms", "must not be below aim_ms");
@@ -406,9 +408,9 @@
   using nlohmann::json;
   json classes = json::array(), tenants = json::array();
   for (const ClassSpec& c : e.classes) {
-    const char* const effect = c.effect == Effect::kSafe    ? "pure"
-                               : c.effect == Effect::kKeyed ? "token"
-                                                            : "side_effect";
+    const char* const effect = c.effect == Idempotency::kIdempotent       ? "pure"
+                               : c.effect == Idempotency::kIdempotencyKey ? "token"
+                                                                          : "side_effect";
     classes.push_back({{"name", c.name},
                        {"sloMs", c.aim},
                        {"deadlineMs", c.deadline},
--- a/src/lab/spec.hpp
+++ b/src/lab/spec.hpp
@@ -24,7 +24,7 @@
 
 struct ClassSpec {
   std::string name;
-  Effect effect = Effect::kSafe;
+  Idempotency effect = Idempotency::kIdempotent;
   Millis aim = 500, deadline = 1500;
   double worth = 1, share = 1;
   Millis work = 20;  // mean, on one core of speed 1
--- a/src/operations/state_text.cpp
+++ b/src/operations/state_text.cpp
@@ -10,55 +10,63 @@
 using nlohmann::json;
 
 template <>
-struct StoredForm<Recollection::OfServer> {
-  using Record = Recollection::OfServer;
+struct StoredForm<LearnedState::OfEndpoint> {
+  using Record = LearnedState::OfEndpoint;
   static constexpr std::tuple kFields{
       StoredField{"id", &Record::id},
       StoredField{"latency", &Record::latency},
-      StoredField{"steady", &Record::steady},
-      StoredField{"base", &Record::base},
-      StoredField{"limit", &Record::limit},
-      StoredField{"failing", &Record::failing},
+      StoredField{"steady", &Record::average_latency},
+      StoredField{"base", &Record::uncongested_latency},
+      StoredField{"limit", &Record::concurrency_limit},
+      StoredField{"failing", &Record::failure_rate},
       StoredField{"samples", &Record::samples},
-      StoredField{"suspect", &Record::suspect},
-      StoredField{"lost", &Record::lost},
-      StoredField{"last_served", &Record::last_served},
-      StoredField{"cold_since", &Record::cold_since},
-      StoredField{"cold_credit", &Record::cold_credit},
+      StoredField{"suspect", &Record::ejected},
+      StoredField{"lost", &Record::connection_failed},
+      StoredField{"last_served", &Record::last_served_at},
+      StoredField{"cold_since", &Record::started_at},
+      StoredField{"cold_credit", &Record::slow_start_credit},
   };
 };
 
 template <>
-struct StoredForm<Recollection::OfKind> {
-  using Record = Recollection::OfKind;
+struct StoredForm<LearnedState::OfKind> {
+  using Record = LearnedState::OfKind;
   static constexpr std::tuple kFields{
-      StoredField{"name", &Record::name},       StoredField{"latency", &Record::latency},
-      StoredField{"steady", &Record::steady},   StoredField{"base", &Record::base},
+      StoredField{"name", &Record::name},
+      StoredField{"latency", &Record::latency},
+      StoredField{"steady", &Record::average_latency},
+      StoredField{"base", &Record::uncongested_latency},
       StoredField{"samples", &Record::samples},
   };
 };
 
 template <>
-struct StoredForm<Recollection::OfClass> {
-  using Record = Recollection::OfClass;
+struct StoredForm<LearnedState::OfClass> {
+  using Record = LearnedState::OfClass;
   static constexpr std::tuple kFields{
       StoredField{"name", &Record::name},
       StoredField{"latency", &Record::latency},
-      StoredField{"most_left", &Record::most_left},
+      StoredField{"most_left", &Record::observed_time_budget},
       StoredField{"samples", &Record::samples},
   };
 };
 
 template <>
-struct StoredForm<Recollection> {
-  using Record = Recollection;
+struct StoredForm<LearnedState> {
+  using Record = LearnedState;
   static constexpr std::tuple kFields{
-      StoredField{"servers", &Record::servers},     StoredField{"kinds", &Record::kinds},
-      StoredField{"classes", &Record::classes},     StoredField{"out_by_hand", &Record::out_by_hand},
-      StoredField{"rate", &Record::rate},           StoredField{"spent_rate", &Record::spent_rate},
-      StoredField{"arriving", &Record::arriving},   StoredField{"failing", &Record::failing},
-      StoredField{"unserved", &Record::unserved},   StoredField{"warm_served", &Record::warm_served},
-      StoredField{"warm_time", &Record::warm_time}, StoredField{"mean_latency", &Record::mean_latency},
+      StoredField{"servers", &Record::endpoints},
+      StoredField{"kinds", &Record::kinds},
+      StoredField{"classes", &Record::classes},
+      StoredField{"out_by_hand", &Record::in_maintenance},
+      StoredField{"rate", &Record::rate},
+      StoredField{"spent_rate", &Record::dispatch_rate},
+      StoredField{"arriving", &Record::arrival_rate},
+      StoredField{"failing", &Record::untimely_share},
+      StoredField{"unserved", &Record::failure_rate},
+      StoredField{"warm_served", &Record::warm_responses},
+      StoredField{"warm_time", &Record::warm_time},
+      StoredField{"mean_latency", &Record::mean_latency},
       StoredField{"samples", &Record::samples},
   };
 };
@@ -84,7 +92,7 @@
     if (!hosts) return std::nullopt;
     state.hosts = *hosts;
     state.revision_known = whole.at("revision_known").get<bool>();
-    state.learned = whole.at("learned").get<Recollection>();
+    state.learned = whole.at("learned").get<LearnedState>();
     state.descriptors = whole.at("descriptors").get<std::size_t>();
     state.edge = whole.value("edge", "");
     return state;
--- a/src/operations/state_text.hpp
+++ b/src/operations/state_text.hpp
@@ -16,7 +16,7 @@
   std::string discovery;  // its address
   HostList hosts;         // as discovery told them
   bool revision_known = false;
-  Recollection learned;
+  LearnedState learned;
   std::size_t descriptors = 0;  // that the process holds
   std::string edge;             // the operators' file in force; empty: none
 };
--- a/src/peers/beat.cpp
+++ b/src/peers/beat.cpp
@@ -34,8 +34,8 @@
   return read;
 }
 
-Sights ReadSights(const json& all) {
-  Sights sights{all.at("zone").get<std::string>(), Amount(all.at("arriving")), {}};
+ZoneLoadReport ReadSights(const json& all) {
+  ZoneLoadReport sights{all.at("zone").get<std::string>(), Amount(all.at("arriving")), {}};
   const json& zones = all.at("zones");
   if (sights.zone.size() > kMostText || !zones.is_array() || zones.size() > kMostZones)
     throw std::invalid_argument("zones");
@@ -63,10 +63,11 @@
               {"hears", hears},   {"started", started}, {"recovered", beat.recovered}};
   if (beat.sights) {
     json zones = json::array();
-    for (const ZoneSight& z : beat.sights->zones) {
-      if (zones.size() < kMostZones) zones.push_back({z.zone, z.size, z.fit, z.ended, z.good});
+    for (const ZoneLoad& z : beat.sights->zones) {
+      if (zones.size() < kMostZones)
+        zones.push_back({z.zone, z.capacity, z.available, z.completed, z.within_objective});
     }
-    all["zone"] = beat.sights->zone, all["arriving"] = beat.sights->arriving, all["zones"] = zones;
+    all["zone"] = beat.sights->zone, all["arriving"] = beat.sights->arrival_rate, all["zones"] = zones;
   }
   return json::to_cbor(all);
 }
--- a/src/peers/beat.hpp
+++ b/src/peers/beat.hpp
@@ -32,7 +32,7 @@
   };
   std::vector<Start> started;
   std::vector<std::string> recovered;
-  std::optional<Sights> sights;  // of the zones, where requests go by them
+  std::optional<ZoneLoadReport> sights;  // of the zones, where requests go by them
 };
 
 std::vector<std::uint8_t> ToBytes(const Beat& beat);
--- a/src/peers/peer_link.cpp
+++ b/src/peers/peer_link.cpp
@@ -107,7 +107,8 @@
   const Millis now = Now();
   Beat beat = view_.Next(now);
   const Gossip gossip = handlers_.gossip();
-  for (const Gossip::Start& s : gossip.started) beat.started.push_back({s.server, std::max(0.0, now - s.at)});
+  for (const Gossip::Start& s : gossip.started)
+    beat.started.push_back({s.endpoint, std::max(0.0, now - s.started_at)});
   beat.recovered = gossip.recovered;
   beat.sights = handlers_.sights();
   const auto bytes = ToBytes(beat);
--- a/src/peers/peer_link.hpp
+++ b/src/peers/peer_link.hpp
@@ -21,11 +21,12 @@
  public:
   struct Handlers {
     std::function<Gossip()> gossip;  // what the others are to be told
-    std::function<void(PeerNews)> news;
+    std::function<void(MembershipUpdate)> news;
     std::function<void(int from, Duty duty, const DutyWord& word)> duty;  // by the list's order
     std::function<void(double chance)> beat;                              // after each
-    std::function<std::optional<Sights>()> sights;  // to tell the others; nothing where they need none
-    std::function<void(int from, const Sights& sights)> seen;
+    std::function<std::optional<ZoneLoadReport>()>
+        sights;  // to tell the others; nothing where they need none
+    std::function<void(int from, const ZoneLoadReport& sights)> seen;
   };
   // Begins at once. While the address is taken, by the process before this one perhaps, it tries again.
   PeerLink(boost::asio::io_context& io, PeersConfig config, Handlers handlers);
--- a/src/peers/peers_config.cpp
+++ b/src/peers/peers_config.cpp
@@ -63,19 +63,19 @@
   if (config.lease < 4 * config.beat) peers->Fail("lease_ms", "must be four beats at the least");
   peers->Finish();
   if (auto zones = in.Table("zones")) {
-    Locality& l = config.locality;
-    l.on = true;
-    l.spare = zones->Number("spare", l.spare, 1, 100);
-    l.panic = zones->Number("panic", l.panic, 0, 1);
-    l.most_extra = zones->Number("most_extra", l.most_extra, 0, 100);
+    ZoneRoutingSettings& l = config.locality;
+    l.enabled = true;
+    l.overprovisioning = zones->Number("spare", l.overprovisioning, 1, 100);
+    l.panic_threshold = zones->Number("panic", l.panic_threshold, 0, 1);
+    l.max_overflow = zones->Number("most_extra", l.max_overflow, 0, 100);
     config.zones.hold = zones->Number("hold_ms", config.zones.hold, 100, 300000);
     config.zones.fresh = config.silent;
-    config.zones.spare = l.spare;
+    config.zones.spare = l.overprovisioning;
     zones->Finish();
   }
   int region = 0;
   in.Tables("region", [&](TableReader& each) {
-    if (!config.locality.on) each.Fail("zones", "there is no [zones]");
+    if (!config.locality.enabled) each.Fail("zones", "there is no [zones]");
     for (const std::string& zone : each.Texts("zones")) {
       if (!config.locality.regions.emplace(zone, region).second)
         each.Fail("zones", "'" + zone + "' is in two regions");
--- a/src/peers/peers_config.hpp
+++ b/src/peers/peers_config.hpp
@@ -24,14 +24,14 @@
   std::vector<PeerAddress> all;  // this gateway included; new ones come last
   std::size_t self = 0;          // which of them this one is
   boost::asio::ip::udp::endpoint listen;
-  int subset = 0;           // hosts that each gateway uses; 0: as without peers
-  Millis beat = 200;        // from one word to the others to the next
-  Millis silent = 1000;     // without a word by then a peer is out of touch
-  Millis gone = 3000;       // and counts as away by then, and its places go to others
-  bool share_list = false;  // one gateway at a time reads the list of hosts for all
-  Millis lease = 3000;      // that it has the duty for, until it asks again
-  Locality locality;        // requests go by zones, as the gateways agree
-  ZoneJudge::Times zones;   // when they do
+  int subset = 0;                // hosts that each gateway uses; 0: as without peers
+  Millis beat = 200;             // from one word to the others to the next
+  Millis silent = 1000;          // without a word by then a peer is out of touch
+  Millis gone = 3000;            // and counts as away by then, and its places go to others
+  bool share_list = false;       // one gateway at a time reads the list of hosts for all
+  Millis lease = 3000;           // that it has the duty for, until it asks again
+  ZoneRoutingSettings locality;  // requests go by zones, as the gateways agree
+  ZoneJudge::Times zones;        // when they do
 };
 
 // Throws EdgeError (file, line and field). `name` is this gateway's, unless the file says so; without one the
--- a/src/simwire/wire.cpp
+++ b/src/simwire/wire.cpp
@@ -54,16 +54,16 @@
   throw WireError(std::string(what) + " is not a flag: '" + std::string(text) + "'");
 }
 
-Result ToResult(std::string_view code) {
+AttemptResult ToResult(std::string_view code) {
   switch (Number<int>(code, "rc")) {
-    case 10: return Result::kServed;
-    case 20: return Result::kError;
-    case 30: return Result::kRejected;
-    case 40: return Result::kTimedOut;
-    case 50: return Result::kConnectFailed;
-    case 60: return Result::kReset;
-    case 70: return Result::kCancelled;
-    case 80: return Result::kNotSent;
+    case 10: return AttemptResult::kServed;
+    case 20: return AttemptResult::kError;
+    case 30: return AttemptResult::kRejected;
+    case 40: return AttemptResult::kTimedOut;
+    case 50: return AttemptResult::kConnectFailed;
+    case 60: return AttemptResult::kReset;
+    case 70: return AttemptResult::kCancelled;
+    case 80: return AttemptResult::kNotSent;
     default: throw WireError("unknown rc " + std::string(code));
   }
 }
@@ -80,17 +80,17 @@
   return load;
 }
 
-Server ToServer(const Parts& parts) {
-  Server server;
+Endpoint ToServer(const Parts& parts) {
+  Endpoint server;
   server.id = Need(parts, 1, "host");
   server.zone = Optional(parts, 2);
   server.kind = Optional(parts, 3);
   server.cell = Optional(parts, 4);
   const std::string_view health = Need(parts, 5, "health");
   if (health == "draining") {
-    server.state = ServerState::kDraining;
+    server.state = EndpointState::kDraining;
   } else if (health == "removed") {
-    server.state = ServerState::kGone;
+    server.state = EndpointState::kRemoved;
   } else if (health != "up") {
     throw WireError("unknown health '" + std::string(health) + "'");
   }
@@ -99,6 +99,17 @@
   return server;
 }
 
+std::string ToText(const Log& entry) {
+  switch (entry.event) {
+    case Log::Event::kEndpointEjected: return "server " + entry.endpoint + " not ready: failing";
+    case Log::Event::kEndpointRestored: return "server " + entry.endpoint + " ready again";
+    case Log::Event::kMaintenanceStarted: return "server " + entry.endpoint + " left out by hand";
+    case Log::Event::kMaintenanceEnded: return "server " + entry.endpoint + " put back by hand";
+    case Log::Event::kDispatchRateReduced: return "rate cut to " + std::to_string(entry.rate_per_s) + "/s";
+  }
+  return {};
+}
+
 void Append(std::string& out, double value) {
   char buffer[32];
   const auto end = std::to_chars(buffer, buffer + sizeof buffer, value, std::chars_format::fixed, 3);
@@ -115,29 +126,33 @@
   return &items[i];
 }
 
-void ParseClass(ClassSettings& c, std::string_view field, std::string_view value) {
+void ParseClass(TrafficClassSettings& c, std::string_view field, std::string_view value) {
   if (field == "name") {
     c.name = value;
   } else if (field == "sloMs") {
-    c.aim = Number<double>(value, "sloMs");
+    c.latency_objective = Number<double>(value, "sloMs");
   } else if (field == "deadlineMs") {
     c.deadline = Number<double>(value, "deadlineMs");
   } else if (field == "importance") {
-    c.worth = Number<double>(value, "importance");
+    c.priority_weight = Number<double>(value, "importance");
   } else if (field == "lateWorth") {
-    c.late_worth = Number<double>(value, "lateWorth");
+    c.late_weight = Number<double>(value, "lateWorth");
   } else if (field == "repeatWindowMs") {
-    c.repeat_window = Number<double>(value, "repeatWindowMs");
+    c.dedup_window = Number<double>(value, "repeatWindowMs");
   } else if (field == "idempotency") {
     if (value != "pure" && value != "token" && value != "side_effect") {
       throw std::invalid_argument("classes.effect: unknown '" + std::string(value) + "'");
     }
-    c.effect = value == "pure" ? Effect::kSafe : value == "token" ? Effect::kKeyed : Effect::kUnsafe;
+    c.idempotency = value == "pure"    ? Idempotency::kIdempotent
+                    : value == "token" ? Idempotency::kIdempotencyKey
+                                       : Idempotency::kNonIdempotent;
   } else if (field == "group") {
     if (value != "all" && value != "zone" && value != "cell") {
       throw std::invalid_argument("classes.group: unknown '" + std::string(value) + "'");
     }
-    c.group = value == "all" ? Group::kAll : value == "zone" ? Group::kZone : Group::kCell;
+    c.dedup_scope = value == "all"    ? DedupScope::kAll
+                    : value == "zone" ? DedupScope::kZone
+                                      : DedupScope::kCell;
   }
 }
 
@@ -159,38 +174,38 @@
   } else if (key == "zone") {
     s.zone = value;
   } else if (key == "peersTotal") {
-    s.gateways = static_cast<int>(number());
+    s.gateway_count = static_cast<int>(number());
   } else if (key == "selfIndex") {
-    s.index = static_cast<int>(number());
+    s.gateway_index = static_cast<int>(number());
   } else if (key == "membershipMode") {
-    s.ask_for_list = value == "ask";
+    s.polls_endpoints = value == "ask";
   } else if (key == "limits.maxAttempts") {
     s.max_attempts = static_cast<int>(number());
   } else if (key == "limits.multiplex") {
-    s.streams = static_cast<int>(number());
+    s.streams_per_connection = static_cast<int>(number());
   } else if (key == "limits.cancelling") {
-    s.may_cancel = flag();
+    s.can_cancel_attempts = flag();
   } else if (key == "clientHabits.marksRetry") {
-    s.marks_retry = flag();
+    s.clients_mark_retries = flag();
   } else if (key == "limits.retryAfter") {
-    s.retry_after = flag();
+    s.sends_retry_after = flag();
   } else if (key == "limits.maxRetryAfterMs") {
     s.max_retry_after = number();
   } else if (key == "rules.askWithinMs") {
-    s.ask_within = number();
+    s.max_poll_interval = number();
   } else if (key == "rules.coldFrom") {
-    s.cold_from = number();
+    s.slow_start_fraction = number();
   } else if (key == "rules.coldMs") {
-    s.cold_for = number();
+    s.slow_start_duration = number();
   } else if (key == "rules.fallMultiple") {
-    s.fall_multiple = number();
+    s.overload_multiple = number();
   } else if (key == "familyInfo.warmKeys") {
-    s.warm_keys = flag();
+    s.key_affinity = flag();
   } else if (key == "report.fields") {
     Parts fields;
     Split(value, ',', fields);
     for (const auto field : fields) {
-      if (!field.empty() && field != "-") s.report_fields.emplace_back(field);
+      if (!field.empty() && field != "-") s.load_report_fields.emplace_back(field);
     }
   }
 }
@@ -275,40 +290,40 @@
     request.tenant = Optional(parts, 3);
     request.key = Optional(parts, 4);
     request.time_left = Number<double>(Need(parts, 5, "graceMs"), "graceMs");
-    request.retry = (NumberOr<unsigned>(parts, 7, "opts", 0) & 2) != 0;
+    request.is_retry = (NumberOr<unsigned>(parts, 7, "opts", 0) & 2) != 0;
     Deliver(request);
   } else if (word == "COMPLETED") {
-    Outcome outcome;
+    AttemptOutcome outcome;
     outcome.request = Need(parts, 1, "ticket");
     outcome.attempt = Number<int>(Need(parts, 2, "trial"), "trial");
-    outcome.server = Need(parts, 3, "host");
+    outcome.endpoint = Need(parts, 3, "host");
     outcome.result = ToResult(Need(parts, 4, "rc"));
-    outcome.finished = Flag(Need(parts, 5, "ended"), "ended");
+    outcome.request_finished = Flag(Need(parts, 5, "ended"), "ended");
     outcome.latency = NumberOr(parts, 6, "costTimeMs", 0.0);
     outcome.load = ToLoad(Optional(parts, 7));
     Deliver(outcome);
   } else if (word == "FIRED") {
-    Deliver(TimerDue{std::string(Need(parts, 1, "keyBack"))});
+    Deliver(TimerExpired{std::string(Need(parts, 1, "keyBack"))});
   } else if (word == "EXPIRED") {
-    Deliver(ClientGone{std::string(Need(parts, 1, "ticket"))});
+    Deliver(ClientDisconnected{std::string(Need(parts, 1, "ticket"))});
   } else if (word == "REGISTRY") {
     const std::string_view kind = Need(parts, 3, "kind");
-    ServerNews news;
+    EndpointUpdate news;
     if (kind == "X") {
-      news.kind = ServerNews::Kind::kFailed;
+      news.kind = EndpointUpdate::Kind::kFailed;
     } else if (kind == "D" || kind == "F" || kind == "C") {
       const auto list = Number<std::size_t>(Need(parts, 1, "list"), "list");
       if (list >= lists_.size()) throw WireError("list number above 15");
-      news.kind = kind == "D" ? ServerNews::Kind::kDelta : ServerNews::Kind::kFull;
-      news.servers = lists_[list];
+      news.kind = kind == "D" ? EndpointUpdate::Kind::kDelta : EndpointUpdate::Kind::kSnapshot;
+      news.endpoints = lists_[list];
     } else {
       throw WireError("unknown list kind '" + std::string(kind) + "'");
     }
     Deliver(news);
   } else if (word == "FLOWING") {
-    Deliver(StreamStarted{std::string(Need(parts, 1, "ticket")),
-                          Number<int>(Need(parts, 3, "trial"), "trial"),
-                          NumberOr(parts, 4, "costTimeMs", 0.0)});
+    Deliver(ResponseStarted{std::string(Need(parts, 1, "ticket")),
+                            Number<int>(Need(parts, 3, "trial"), "trial"),
+                            NumberOr(parts, 4, "costTimeMs", 0.0)});
   } else if (word == "ECHO") {
     ToResult(Need(parts, 2, "rc"));  // the module never probes: checked and dropped
     NumberOr(parts, 3, "costTimeMs", 0.0);
@@ -326,7 +341,7 @@
   actions_.clear();
   std::optional<std::string> fault;
   try {
-    policies_.at(*at_).handle(now_, event, actions_);
+    policies_.at(*at_).Handle(now_, event, actions_);
   } catch (const std::exception& error) {
     actions_.clear();
     fault = error.what();
@@ -341,23 +356,25 @@
 void Host::Print(const Action& action) {
   struct Printer {
     std::string& out;
-    void operator()(const Send& a) {
-      out += "PASS_ON " + a.request + ' ' + a.server + ' ';
+    void operator()(const StartAttempt& a) {
+      out += "PASS_ON " + a.request + ' ' + a.endpoint + ' ';
       Append(out, a.timeout);
     }
-    void operator()(const Refuse& a) {
+    void operator()(const Reject& a) {
       out += "PUSH_BACK " + a.request + ' ';
       Append(out, a.retry_after);
     }
     void operator()(const Fail& a) { out += "ERROR " + a.request; }
-    void operator()(const Cancel& a) { out += "UNDO_SEND " + a.request + ' ' + std::to_string(a.attempt); }
+    void operator()(const CancelAttempt& a) {
+      out += "UNDO_SEND " + a.request + ' ' + std::to_string(a.attempt);
+    }
     void operator()(const SetTimer& a) {
       out += "AFTER ";
       Append(out, a.delay);
       out += ' ' + a.name;
     }
-    void operator()(const Watch&) { out += "LISTEN 1"; }
-    void operator()(const Log& a) { out += "PRINT " + a.text; }
+    void operator()(const PollEndpoints&) { out += "LISTEN 1"; }
+    void operator()(const Log& a) { out += "PRINT " + ToText(a); }
   };
   std::visit(Printer{body_}, action);
   body_ += '\n';
--- a/src/simwire/wire.hpp
+++ b/src/simwire/wire.hpp
@@ -46,7 +46,7 @@
   bool in_batch_ = false;
   std::optional<std::int64_t> at_;  // the instance that events are addressed to
   std::map<std::int64_t, Policy> policies_;
-  std::vector<std::vector<Server>> lists_ = std::vector<std::vector<Server>>(16);
+  std::vector<std::vector<Endpoint>> lists_ = std::vector<std::vector<Endpoint>>(16);
   std::size_t open_list_ = 0;
   std::size_t entries_due_ = 0;          // ENTRY lines still to come for the open list
   std::optional<std::int64_t> context_;  // the instance the reply's actions are addressed to
--- a/src/upstream/answer_reader.cpp
+++ b/src/upstream/answer_reader.cpp
@@ -18,12 +18,12 @@
 
 // Only 503 and 504 with Srv-Declined prove that a request never ran.
 template <typename Head>
-Result ToResult(const Head& response) {
+AttemptResult ToResult(const Head& response) {
   const http::status status = response.result();
-  if (status == http::status::ok) return Result::kServed;
+  if (status == http::status::ok) return AttemptResult::kServed;
   const bool declines =
       status == http::status::service_unavailable || status == http::status::gateway_timeout;
-  return declines && response["Srv-Declined"] == "1" ? Result::kRejected : Result::kError;
+  return declines && response["Srv-Declined"] == "1" ? AttemptResult::kRejected : AttemptResult::kError;
 }
 
 }  // namespace
@@ -80,17 +80,17 @@
 }
 
 void AnswerReader::HeadRead(error_code ec) {
-  if (ec) return handlers_.failed(Result::kReset);
+  if (ec) return handlers_.failed(AttemptResult::kReset);
   const auto& head = parser_->get();
   if (head.result_int() / 100 == 1) {  // by number: the library has no name for all of them
     if (++interim_ > kMostInterim || head.result() == http::status::switching_protocols) {
-      return handlers_.failed(Result::kReset);
+      return handlers_.failed(AttemptResult::kReset);
     }
     return ReadHead();
   }
   const auto length = parser_->content_length();
   if (FramingOf(head) != Framing::kDelimited || (length && *length > kMostStream)) {
-    return handlers_.failed(Result::kReset);
+    return handlers_.failed(AttemptResult::kReset);
   }
   keep_alive_ = head.keep_alive();
   if (parser_->is_done()) return handlers_.received(ToResult(head), TakeReply(), keep_alive_);
@@ -116,14 +116,14 @@
 // A short answer is judged once it is whole; a long one is passed on from its first piece.
 void AnswerReader::ReadBody() {
   ReadPiece([this](error_code ec, std::string_view piece) {
-    if (ec) return handlers_.failed(Result::kReset);
+    if (ec) return handlers_.failed(AttemptResult::kReset);
     body_.append(piece);
-    const Result result = ToResult(parser_->get());
+    const AttemptResult result = ToResult(parser_->get());
     if (parser_->is_done() && body_.size() <= kMostBody) {
       return handlers_.received(result, TakeReply(), keep_alive_);
     }
     if (body_.size() <= kMostBody && parser_->content_length().value_or(0) <= kMostBody) return ReadBody();
-    if (result != Result::kServed) return handlers_.failed(result);  // nobody wants the rest of it
+    if (result != AttemptResult::kServed) return handlers_.failed(result);  // nobody wants the rest of it
     BeginStream();
   });
 }
@@ -157,7 +157,7 @@
   handlers_.awaits_host(true);
   ReadPiece([this](error_code ec, std::string_view piece) {
     if (!ask_) return;
-    if (ec) return handlers_.failed(Result::kReset);
+    if (ec) return handlers_.failed(AttemptResult::kReset);
     handlers_.awaits_host(false);  // the client may take its time now
     const auto take = std::exchange(ask_, nullptr);
     const std::string text(piece);  // the connection may go on to other work
--- a/src/upstream/answer_reader.hpp
+++ b/src/upstream/answer_reader.hpp
@@ -22,14 +22,14 @@
   struct Handlers {
     std::function<std::shared_ptr<void>()> owner;  // kept while something is awaited
     // It was read whole; `keep_alive`: the connection can be used again.
-    std::function<void(Result, Reply, bool keep_alive)> received;
+    std::function<void(AttemptResult, Reply, bool keep_alive)> received;
     // A long one has begun; `streamed` or `failed` follows.
     std::function<void(Reply, std::shared_ptr<BodySource>)> begun;
     std::function<void(bool keep_alive)> streamed;
     std::function<void(bool waiting)> awaits_host;  // a piece is awaited from the host, or was taken in
     std::function<void()> abandoned;                // by whoever passes the long one on
     // What can't be read, or can't be proved whole, is no answer: the request may have run.
-    std::function<void(Result)> failed;
+    std::function<void(AttemptResult)> failed;
   };
   AnswerReader(boost::asio::ip::tcp::socket& socket, Handlers handlers)
       : socket_(socket), handlers_(std::move(handlers)) {}
--- a/src/upstream/connection.cpp
+++ b/src/upstream/connection.cpp
@@ -28,23 +28,25 @@
       address_(address),
       socket_(pool.io_),
       timer_(pool.io_),
-      writer_(socket_, {[this] { return shared_from_this(); }, [this] { Written(); },
-                        [this] { End(Result::kConnectFailed); }, [this] { End(Result::kNotSent); },
-                        [this] { Arm(Now() + kStreamPause); }, [this] { Disarm(); }}),
-      reader_(socket_, {[this] { return shared_from_this(); },
-                        [this](Result result, Reply reply, bool keep_alive) {
-                          Release(keep_alive);
-                          Finish(result, std::move(reply));
-                        },
-                        [this](Reply reply, std::shared_ptr<BodySource> rest) {
-                          job_->begun(std::move(reply), std::move(rest));
-                        },
-                        [this](bool keep_alive) {
-                          Release(keep_alive);
-                          Finish(Result::kServed, {});
-                        },
-                        [this](bool waiting) { waiting ? Arm(Now() + kStreamPause) : Disarm(); },
-                        [this] { End(Result::kCancelled); }, [this](Result result) { End(result); }}) {}
+      writer_(socket_,
+              {[this] { return shared_from_this(); }, [this] { Written(); },
+               [this] { End(AttemptResult::kConnectFailed); }, [this] { End(AttemptResult::kNotSent); },
+               [this] { Arm(Now() + kStreamPause); }, [this] { Disarm(); }}),
+      reader_(socket_,
+              {[this] { return shared_from_this(); },
+               [this](AttemptResult result, Reply reply, bool keep_alive) {
+                 Release(keep_alive);
+                 Finish(result, std::move(reply));
+               },
+               [this](Reply reply, std::shared_ptr<BodySource> rest) {
+                 job_->begun(std::move(reply), std::move(rest));
+               },
+               [this](bool keep_alive) {
+                 Release(keep_alive);
+                 Finish(AttemptResult::kServed, {});
+               },
+               [this](bool waiting) { waiting ? Arm(Now() + kStreamPause) : Disarm(); },
+               [this] { End(AttemptResult::kCancelled); }, [this](AttemptResult result) { End(result); }}) {}
 
 bool HostPool::Connection::Open() {
   error_code ec;
@@ -94,7 +96,7 @@
          (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-void HostPool::Connection::End(Result result) {
+void HostPool::Connection::End(AttemptResult result) {
   Close();
   writer_.Reset();
   reader_.Reset();
@@ -131,7 +133,7 @@
   pool_.active_[job_->attempt] = shared_from_this();
 }
 
-void HostPool::Connection::Finish(Result result, Reply reply) {
+void HostPool::Connection::Finish(AttemptResult result, Reply reply) {
   if (!job_) return;
   const Job job = *std::exchange(job_, std::nullopt);
   pool_.active_.erase(job.attempt);
@@ -161,15 +163,15 @@
     pool_.Forget(host_, this);
     return Close();
   }
-  if (reader_.streams()) return End(Result::kReset);
-  End(writer_.WrittenWhole() ? Result::kTimedOut : Result::kConnectFailed);
+  if (reader_.streams()) return End(AttemptResult::kReset);
+  End(writer_.WrittenWhole() ? AttemptResult::kTimedOut : AttemptResult::kConnectFailed);
 }
 
 void HostPool::Connection::Dialled(error_code ec) {
-  if (ec) return End(Result::kConnectFailed);
+  if (ec) return End(AttemptResult::kConnectFailed);
   if (!pool_.handlers_.current()) return pool_.dialled_.push_back(shared_from_this());
   // The dial took time: the host may have begun to drain, or may have moved, or the client may have left.
-  if (!pool_.MayUse(host_, address_) || !job_->wanted()) return End(Result::kNotSent);
+  if (!pool_.MayUse(host_, address_) || !job_->wanted()) return End(AttemptResult::kNotSent);
   Arm(job_->deadline);
   Write();
 }
--- a/src/upstream/connection.hpp
+++ b/src/upstream/connection.hpp
@@ -39,13 +39,13 @@
   bool SentWhole() const { return writer_.WrittenWhole(); }
   Millis rested_at() const { return rested_at_; }
   // Ends the job, if there is one, and the connection with it.
-  void End(Result result);
+  void End(AttemptResult result);
   void Close();
   void Idle();
 
  private:
   void Take(Job job);
-  void Finish(Result result, Reply reply);
+  void Finish(AttemptResult result, Reply reply);
   void Arm(Millis until);
   void Disarm();
   void TimeUp();
--- a/src/upstream/host_pool.cpp
+++ b/src/upstream/host_pool.cpp
@@ -35,7 +35,7 @@
   }
   for (const Host& entry : list.hosts) {
     HostState& host = hosts_[entry.server.id];
-    host.up = entry.server.state == ServerState::kUp;
+    host.up = entry.server.state == EndpointState::kUp;
     if (host.address != entry.address) CloseIdle(host);
     host.address = entry.address;
   }
@@ -62,13 +62,13 @@
     if (handlers_.may_use(host) && errand.wanted()) {
       Begin(next.key(), host, std::move(errand));
     } else {
-      errand.done(Result::kNotSent, {});
+      errand.done(AttemptResult::kNotSent, {});
     }
   }
   for (const auto& connection : std::exchange(dialled_, {})) connection->Resume();
 }
 
-bool HostPool::EndWaiting(std::uint64_t attempt, Result result) {
+bool HostPool::EndWaiting(std::uint64_t attempt, AttemptResult result) {
   const auto waiting = waiting_.extract(attempt);
   if (waiting.empty()) return false;
   waiting.mapped().errand.done(result, {});
@@ -78,7 +78,7 @@
 void HostPool::Begin(std::uint64_t attempt, const std::string& host, Errand errand) {
   const auto found = hosts_.find(host);
   if (found == hosts_.end() || Now() >= errand.deadline) {
-    errand.done(Result::kNotSent, {});
+    errand.done(AttemptResult::kNotSent, {});
     return;
   }
   const Millis patience = errand.deadline - Now();
@@ -98,7 +98,7 @@
     connection->Close();
   }
   if (connections_ >= limits_.connections && !EvictIdle()) {
-    job.done(Result::kNotSent, {});
+    job.done(AttemptResult::kNotSent, {});
     return;
   }
   const auto connection = std::make_shared<Connection>(*this, host, found->second.address);
@@ -107,24 +107,24 @@
     connection->Dial(std::move(job));
   } else {
     connection->Close();
-    job.done(Result::kNotSent, {});
+    job.done(AttemptResult::kNotSent, {});
   }
 }
 
 void HostPool::Cancel(std::uint64_t attempt) {
-  if (EndWaiting(attempt, Result::kCancelled)) return;
+  if (EndWaiting(attempt, AttemptResult::kCancelled)) return;
   const auto found = active_.find(attempt);
   if (found == active_.end()) return;
   const auto connection = found->second;  // End takes it out of the map
-  connection->End(Result::kCancelled);
+  connection->End(AttemptResult::kCancelled);
 }
 
 void HostPool::Withdraw(std::uint64_t attempt) {
-  if (EndWaiting(attempt, Result::kNotSent)) return;
+  if (EndWaiting(attempt, AttemptResult::kNotSent)) return;
   const auto found = active_.find(attempt);
   if (found == active_.end() || found->second->SentWhole()) return;
   const auto connection = found->second;
-  connection->End(Result::kNotSent);
+  connection->End(AttemptResult::kNotSent);
 }
 
 void HostPool::PassIdle(Pass pass) {
--- a/src/upstream/host_pool.hpp
+++ b/src/upstream/host_pool.hpp
@@ -76,7 +76,7 @@
     Errand errand;
   };
   void Begin(std::uint64_t attempt, const std::string& host, Errand errand);
-  bool EndWaiting(std::uint64_t attempt, Result result);
+  bool EndWaiting(std::uint64_t attempt, AttemptResult result);
   void CloseIdle(HostState& host);
   bool EvictIdle();
   bool MayUse(const std::string& host, const boost::asio::ip::tcp::endpoint& address) const;
--- a/src/upstream/parent_handshake.cpp
+++ b/src/upstream/parent_handshake.cpp
@@ -9,9 +9,9 @@
 
 // What a SOCKS5 reply says of an attempt (RFC 1928, section 6): 3 to 6 speak of the host, the rest of the
 // parent.
-Result Meaning(unsigned char reply) {
-  if (reply == 0) return Result::kServed;
-  return reply >= 3 && reply <= 6 ? Result::kConnectFailed : Result::kRejected;
+AttemptResult Meaning(unsigned char reply) {
+  if (reply == 0) return AttemptResult::kServed;
+  return reply >= 3 && reply <= 6 ? AttemptResult::kConnectFailed : AttemptResult::kRejected;
 }
 
 }  // namespace
@@ -46,7 +46,7 @@
   output_ += "\r\n";
 }
 
-std::optional<Result> ParentHandshake::Feed(std::string& in) {
+std::optional<AttemptResult> ParentHandshake::Feed(std::string& in) {
   return stage_ == Stage::kHead ? FeedHead(in) : FeedSocks(in);
 }
 
@@ -65,13 +65,13 @@
   output_ += static_cast<char>(target_.port() & 255);
 }
 
-std::optional<Result> ParentHandshake::FeedSocks(std::string& in) {
+std::optional<AttemptResult> ParentHandshake::FeedSocks(std::string& in) {
   const auto byte = [&](std::size_t i) { return static_cast<unsigned char>(in[i]); };
   if (stage_ == Stage::kMethod) {
     if (in.size() < 2) return std::nullopt;
     const unsigned char wanted = parent_.user.empty() ? 0 : 2;
-    if (byte(0) != 5) return Result::kConnectFailed;
-    if (byte(1) != wanted) return Result::kRejected;
+    if (byte(0) != 5) return AttemptResult::kConnectFailed;
+    if (byte(1) != wanted) return AttemptResult::kRejected;
     in.erase(0, 2);
     if (wanted == 0) {
       AskSocks();
@@ -84,35 +84,35 @@
   }
   if (stage_ == Stage::kPassword) {
     if (in.size() < 2) return std::nullopt;
-    if (byte(1) != 0) return Result::kRejected;
+    if (byte(1) != 0) return AttemptResult::kRejected;
     in.erase(0, 2);
     AskSocks();
     return std::nullopt;
   }
   if (in.size() < 5) return std::nullopt;
-  if (byte(0) != 5) return Result::kConnectFailed;
+  if (byte(0) != 5) return AttemptResult::kConnectFailed;
   const std::size_t address = byte(3) == 1 ? 4 : byte(3) == 4 ? 16 : byte(3) == 3 ? 1u + byte(4) : 0;
-  if (address == 0) return Result::kConnectFailed;
-  const Result meaning = Meaning(byte(1));
-  if (meaning != Result::kServed) return meaning;
+  if (address == 0) return AttemptResult::kConnectFailed;
+  const AttemptResult meaning = Meaning(byte(1));
+  if (meaning != AttemptResult::kServed) return meaning;
   if (in.size() < 4 + address + 2) return std::nullopt;
   in.erase(0, 4 + address + 2);
   return meaning;
 }
 
 // Any 2xx opens the way, and no body follows it (RFC 9110, section 9.3.6).
-std::optional<Result> ParentHandshake::FeedHead(std::string& in) {
+std::optional<AttemptResult> ParentHandshake::FeedHead(std::string& in) {
   const std::size_t end = in.find("\r\n\r\n");
   if (end == std::string::npos) {
     const bool other = in.size() >= 5 && !in.starts_with("HTTP/");
-    return other || in.size() > kMostHead ? std::optional(Result::kConnectFailed) : std::nullopt;
+    return other || in.size() > kMostHead ? std::optional(AttemptResult::kConnectFailed) : std::nullopt;
   }
-  if (!in.starts_with("HTTP/1.") || in.size() < 12 || in[8] != ' ') return Result::kConnectFailed;
+  if (!in.starts_with("HTTP/1.") || in.size() < 12 || in[8] != ' ') return AttemptResult::kConnectFailed;
   const std::string status = in.substr(9, 3);
   in.erase(0, end + 4);
-  if (status[0] == '2') return Result::kServed;
+  if (status[0] == '2') return AttemptResult::kServed;
   const bool of_host = status == "502" || status == "504";
-  return of_host ? Result::kConnectFailed : Result::kRejected;
+  return of_host ? AttemptResult::kConnectFailed : AttemptResult::kRejected;
 }
 
 }  // namespace meadowyard
--- a/src/upstream/parent_handshake.hpp
+++ b/src/upstream/parent_handshake.hpp
@@ -26,13 +26,13 @@
   // Takes what the parent wrote off the front of `in`; what stays when it is done came from the host.
   // kServed: the way is open. kRejected: the parent turned it away. kConnectFailed: the parent could not
   // reach the host, or speaks something else. None of these ever ran. Nothing: more is awaited.
-  std::optional<Result> Feed(std::string& in);
+  std::optional<AttemptResult> Feed(std::string& in);
 
  private:
   enum class Stage { kMethod, kPassword, kReply, kHead };
   void AskSocks();
-  std::optional<Result> FeedSocks(std::string& in);
-  std::optional<Result> FeedHead(std::string& in);
+  std::optional<AttemptResult> FeedSocks(std::string& in);
+  std::optional<AttemptResult> FeedHead(std::string& in);
 
   const ParentAccess parent_;
   const boost::asio::ip::tcp::endpoint target_;
--- a/src/upstream/tunnel_dialer.cpp
+++ b/src/upstream/tunnel_dialer.cpp
@@ -36,14 +36,14 @@
     const tcp::endpoint to = parent ? parent->address : target_;
     error_code ec;
     socket_.open(to.protocol(), ec);
-    if (ec) return End(Result::kNotSent);
+    if (ec) return End(AttemptResult::kNotSent);
     Arm(owner_->times_.dial);
     socket_.async_connect(
         to, [self = shared_from_this()](error_code connect_ec) { self->Connected(connect_ec); });
   }
 
   // Called without effect once it has ended.
-  void End(Result result) {
+  void End(AttemptResult result) {
     if (std::exchange(ended_, true)) return;
     const auto self = shared_from_this();
     error_code ignored;
@@ -67,7 +67,7 @@
     timer_.expires_after(Span(left));
     // One that was due already when it was set anew is told all the same.
     timer_.async_wait([self = shared_from_this(), turn = ++waits_](error_code ec) {
-      if (!ec && self->waits_ == turn) self->End(Result::kConnectFailed);
+      if (!ec && self->waits_ == turn) self->End(AttemptResult::kConnectFailed);
     });
   }
 
@@ -75,9 +75,9 @@
 
   void Connected(error_code ec) {
     if (ended_) return;
-    if (ec) return End(Result::kConnectFailed);
+    if (ec) return End(AttemptResult::kConnectFailed);
     socket_.set_option(tcp::no_delay(true), ec);
-    if (!owner_->may_use_(host_)) return End(Result::kNotSent);
+    if (!owner_->may_use_(host_)) return End(AttemptResult::kNotSent);
     if (!owner_->parent_) return Open();
     handshake_.emplace(*owner_->parent_, target_);
     Arm(owner_->times_.parent);
@@ -90,14 +90,14 @@
     asio::async_write(socket_, asio::buffer(output_),
                       [self = shared_from_this()](error_code ec, std::size_t) {
                         if (self->ended_) return;
-                        ec ? self->End(Result::kConnectFailed) : self->Read();
+                        ec ? self->End(AttemptResult::kConnectFailed) : self->Read();
                       });
   }
 
   void Read() {
     socket_.async_read_some(asio::buffer(piece_), [self = shared_from_this()](error_code ec, std::size_t n) {
       if (self->ended_) return;
-      if (ec || self->input_.size() + n > kMostUnread) return self->End(Result::kConnectFailed);
+      if (ec || self->input_.size() + n > kMostUnread) return self->End(AttemptResult::kConnectFailed);
       self->input_.append(self->piece_.data(), n);
       self->Heard();
     });
@@ -108,13 +108,13 @@
     for (std::size_t before = 0; before != input_.size();) {
       before = input_.size();
       if (const auto result = handshake_->Feed(input_))
-        return *result == Result::kServed ? Open() : End(*result);
+        return *result == AttemptResult::kServed ? Open() : End(*result);
     }
     Converse();
   }
 
   void Open() {
-    if (!owner_->may_use_(host_)) return End(Result::kNotSent);  // it took time: there may be news
+    if (!owner_->may_use_(host_)) return End(AttemptResult::kNotSent);  // it took time: there may be news
     const auto self = shared_from_this();
     ended_ = true;
     timer_.cancel();
@@ -147,7 +147,7 @@
 void TunnelDialer::Update(const HostList& list) {
   if (list.complete) hosts_.clear();
   for (const Host& host : list.hosts) {
-    if (host.server.state == ServerState::kUp) {
+    if (host.server.state == EndpointState::kUp) {
       hosts_[host.server.id] = host.address;
     } else {
       hosts_.erase(host.server.id);
@@ -159,7 +159,7 @@
   const std::uint64_t number = next_++;
   const auto found = hosts_.find(host);
   if (found == hosts_.end() || !may_use_(host) || Now() >= errand.deadline) {
-    errand.done(Result::kNotSent, {});
+    errand.done(AttemptResult::kNotSent, {});
     return number;
   }
   const auto dial = std::make_shared<Dial>(*this, number, host, found->second, std::move(errand));
@@ -168,7 +168,7 @@
   return number;
 }
 
-void TunnelDialer::End(std::uint64_t attempt, Result result) {
+void TunnelDialer::End(std::uint64_t attempt, AttemptResult result) {
   const auto found = dials_.find(attempt);
   if (found == dials_.end()) return;
   const auto dial = found->second;
--- a/src/upstream/tunnel_dialer.hpp
+++ b/src/upstream/tunnel_dialer.hpp
@@ -33,13 +33,13 @@
   void SetParent(std::optional<ParentAccess> parent) { parent_ = std::move(parent); }
 
   std::uint64_t Start(const std::string& host, Errand errand) override;
-  void Cancel(std::uint64_t attempt) override { End(attempt, Result::kCancelled); }
+  void Cancel(std::uint64_t attempt) override { End(attempt, AttemptResult::kCancelled); }
   // A tunnel is sent nothing until it is open.
-  void Withdraw(std::uint64_t attempt) override { End(attempt, Result::kNotSent); }
+  void Withdraw(std::uint64_t attempt) override { End(attempt, AttemptResult::kNotSent); }
 
  private:
   class Dial;
-  void End(std::uint64_t attempt, Result result);
+  void End(std::uint64_t attempt, AttemptResult result);
   boost::asio::io_context& io_;
   Times times_;
   const std::function<bool(const std::string&)> may_use_;
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -93,7 +93,7 @@
 // figures.
 TEST(Figures, CountEachRequestOnce) {
   Figures figures;
-  ClassSettings view, pay;
+  TrafficClassSettings view, pay;
   view.name = "view";
   pay.name = "pay";
   figures.Know({view, pay});
--- a/tests/claims_test.cpp
+++ b/tests/claims_test.cpp
@@ -13,7 +13,7 @@
   r.class_name = "view";
   r.tenant = std::move(tenant);
   r.time_left = left;
-  r.retry = retry;
+  r.is_retry = retry;
   return r;
 }
 
@@ -22,8 +22,8 @@
 TEST(Claims, MarkedFurtherTriesHaveABoundOfTheirOwn) {
   Settings s = MakeSettings();
   s.tenants = {{"t", 10}, {"u", 10}};
-  s.marks_retry = true;
-  s.most_out = 1;
+  s.clients_mark_retries = true;
+  s.max_attempts_in_flight = 1;
   Gateway g(s);
   g.Servers(1);
   g.Pass(2000);
@@ -34,7 +34,7 @@
   std::size_t ahead = 0;
   for (std::string last = "out"; last != "usual" && ahead <= 25; ++ahead) {
     g.now += 1;
-    g.End(last, "s0", Result::kServed, 1);
+    g.End(last, "s0", AttemptResult::kServed, 1);
     last = g.sent.back().request;
   }
   EXPECT_LE(ahead, 11u);
@@ -44,7 +44,7 @@
 TEST(Claims, AMarkCountsOnlyWhereClientsMarkFurtherTries) {
   Settings s = MakeSettings();
   s.tenants = {{"t", 10}};
-  s.most_out = 1;
+  s.max_attempts_in_flight = 1;
   Gateway g(s);
   g.Servers(1);
   g.Pass(2000);
@@ -52,7 +52,7 @@
   for (int i = 0; i < 10; ++i) g.Do(Call("marked" + std::to_string(i), 2000, "t", true));
   g.Do(Call("beyond", 2000, "t"));  // the marks took the share up
   g.Do(Call("no share", 2000, "nobody"));
-  EXPECT_EQ(Gateway::Count<Refuse>(g.Pass(100)), 2);  // both wait for as little as what is beyond a share
+  EXPECT_EQ(Gateway::Count<Reject>(g.Pass(100)), 2);  // both wait for as little as what is beyond a share
 }
 
 // Guards short-lived clients where nobody marks further tries: one long deadline, again and again, puts them
@@ -63,16 +63,16 @@
   for (int i = 0; i < 100; ++i) {
     g.Do(Call("long" + std::to_string(i), 2000));
     g.now += 20;
-    g.End("long" + std::to_string(i), "s0", Result::kServed, 20);
+    g.End("long" + std::to_string(i), "s0", AttemptResult::kServed, 20);
     EXPECT_EQ(Gateway::SentTo(g.Do(Call("usual" + std::to_string(i), 900))), "s0");
     g.now += 20;
-    g.End("usual" + std::to_string(i), "s0", Result::kServed, 20);
+    g.End("usual" + std::to_string(i), "s0", AttemptResult::kServed, 20);
   }
 }
 
 TEST(Claims, ADeadlineBeyondTheClassHoldsNoPlaceForLonger) {
   Settings s = MakeSettings();
-  s.classes[0].late_worth = 0.5;  // attempts may last to the deadline
+  s.classes[0].late_weight = 0.5;  // attempts may last to the deadline
   Gateway g(s);
   g.Servers(1);
   g.Do(Call("greedy", 600000));
@@ -83,7 +83,7 @@
 // Guards servers and the rate against a client that never gives an answer the time to come.
 TEST(Claims, DeadlinesTooShortToBeMetSayNothingOfServers) {
   Settings s = MakeSettings();
-  s.marks_retry = true;
+  s.clients_mark_retries = true;
   Gateway g(s);
   g.Servers(2);
   g.Serve(200, 200);
@@ -92,11 +92,11 @@
     const std::string to = Gateway::SentTo(g.Ask(id, "view", 60));
     g.Pass(60);
     if (to.empty()) continue;
-    const auto actions = g.End(id, to, Result::kTimedOut, 60);
-    EXPECT_FALSE(Gateway::Logged(actions, "not ready")) << i;
-    EXPECT_FALSE(Gateway::Logged(actions, "rate cut")) << i;
+    const auto actions = g.End(id, to, AttemptResult::kTimedOut, 60);
+    EXPECT_FALSE(Gateway::Logged(actions, Log::Event::kEndpointEjected)) << i;
+    EXPECT_FALSE(Gateway::Logged(actions, Log::Event::kDispatchRateReduced)) << i;
   }
-  EXPECT_EQ(g.policy.census().avoided, 0);
+  EXPECT_EQ(g.policy.CollectStats().unavailable, 0);
 }
 
 // The other side of it: time-outs of usual attempts still have a server left out.
@@ -108,9 +108,9 @@
     const std::string id = "hung" + std::to_string(i);
     const std::string to = Gateway::SentTo(g.Ask(id));
     g.Pass(to == "s0" ? 1000 : 200);
-    g.End(id, to, to == "s0" ? Result::kTimedOut : Result::kServed, to == "s0" ? 1000 : 200);
+    g.End(id, to, to == "s0" ? AttemptResult::kTimedOut : AttemptResult::kServed, to == "s0" ? 1000 : 200);
   }
-  EXPECT_EQ(g.policy.census().avoided, 1);
+  EXPECT_EQ(g.policy.CollectStats().unavailable, 1);
 }
 
 // Guards classes that must not repeat where they are alone: servers that all failed are tried again.
@@ -120,23 +120,23 @@
     g.Servers(2);
     std::map<std::string, int> attempts;
     std::size_t ended = 0;
-    const auto run = [&](int n, const std::string& name, Result result) {
+    const auto run = [&](int n, const std::string& name, AttemptResult result) {
       for (int i = 0; i < n; ++i) {
         g.Ask(name + std::to_string(i), cls);
         g.Pass(50);
         for (; ended < g.sent.size(); ++ended) {
-          const Send send = g.sent[ended];
-          g.End(send.request, send.server, result, 20, attempts[send.request]++);
+          const StartAttempt send = g.sent[ended];
+          g.End(send.request, send.endpoint, result, 20, attempts[send.request]++);
         }
       }
     };
-    run(40, "fails", Result::kConnectFailed);
-    ASSERT_EQ(g.policy.census().avoided, 2) << cls;
+    run(40, "fails", AttemptResult::kConnectFailed);
+    ASSERT_EQ(g.policy.CollectStats().unavailable, 2) << cls;
     g.Pass(10000);
     const std::size_t before = g.sent.size();
-    run(200, "well", Result::kServed);
+    run(200, "well", AttemptResult::kServed);
     EXPECT_GT(g.sent.size(), before + 15) << cls;  // as to a cold server: it may be a new process
-    EXPECT_EQ(g.policy.census().avoided, 0) << cls;
+    EXPECT_EQ(g.policy.CollectStats().unavailable, 0) << cls;
   }
 }
 
@@ -145,19 +145,19 @@
   Gateway g;
   g.Servers(2);
   g.Serve(20);
-  for (int i = 0; i < 40 && g.policy.census().avoided == 0; ++i) {
+  for (int i = 0; i < 40 && g.policy.CollectStats().unavailable == 0; ++i) {
     const std::string id = "fails" + std::to_string(i);
     const std::string to = Gateway::SentTo(g.Ask(id, "pay"));
     g.Pass(20);
-    g.End(id, to, to == "s0" ? Result::kError : Result::kServed, 20);
+    g.End(id, to, to == "s0" ? AttemptResult::kError : AttemptResult::kServed, 20);
   }
-  ASSERT_EQ(g.policy.census().avoided, 1);
+  ASSERT_EQ(g.policy.CollectStats().unavailable, 1);
   g.Pass(10000);
   for (int i = 0; i < 10; ++i) {
     const std::string id = "pay" + std::to_string(i);
     EXPECT_EQ(Gateway::SentTo(g.Ask(id, "pay")), "s1");
     g.Pass(20);
-    g.End(id, "s1", Result::kServed, 20);
+    g.End(id, "s1", AttemptResult::kServed, 20);
   }
 }
 
@@ -165,16 +165,16 @@
 // a second and server when it is back, not at what was left of the rate.
 TEST(Rate, KeepsItsFloorOverATimeWithoutServers) {
   Settings s = MakeSettings();
-  s.classes[0].aim = s.classes[0].deadline = 60000;
+  s.classes[0].latency_objective = s.classes[0].deadline = 60000;
   Gateway g(s);
   g.Servers(4);
   for (int i = 0; i < 60; ++i) g.Ask("r" + std::to_string(i));
   const auto out = g.sent;
   g.List({});
   std::map<std::string, int> attempts;
-  for (const Send& send : out) {  // what was out fails, a little later each
+  for (const StartAttempt& send : out) {  // what was out fails, a little later each
     g.Pass(200);
-    g.End(send.request, send.server, Result::kError, 20, attempts[send.request]++);
+    g.End(send.request, send.endpoint, AttemptResult::kError, 20, attempts[send.request]++);
   }
   g.Pass(60000);
   g.Servers(4);
@@ -190,13 +190,13 @@
 TEST(Queues, AFurtherTryWithoutAServerHoldsNobodyUp) {
   Gateway g;
   g.List({MakeServer("s0", "0"), MakeServer("s1", "1")});
-  EXPECT_EQ(Gateway::Count<Send>(g.Ask("warm", "key")), 1);
+  EXPECT_EQ(Gateway::Count<StartAttempt>(g.Ask("warm", "key")), 1);
   g.now += 20;
-  g.End("warm", g.sent.back().server, Result::kServed, 20);
+  g.End("warm", g.sent.back().endpoint, AttemptResult::kServed, 20);
   g.Ask("stays", "key");  // may have run at its server: it must stay in that one's cell
-  const std::string at = g.sent.back().server;
+  const std::string at = g.sent.back().endpoint;
   g.now += 20;
-  g.End("stays", at, Result::kError, 20);
+  g.End("stays", at, AttemptResult::kError, 20);
   const std::size_t before = g.sent.size();
   g.Ask("next", "key");
   ASSERT_EQ(g.sent.size(), before + 1);
@@ -206,8 +206,8 @@
 // Guards the bucket: what could not be sent at all bought nothing with its token.
 TEST(Rate, AnAttemptThatWasNeverSentCostsNoToken) {
   Settings s = MakeSettings();
-  s.classes[0].aim = s.classes[0].deadline = 60000;
-  const auto sent = [&](Result result) {
+  s.classes[0].latency_objective = s.classes[0].deadline = 60000;
+  const auto sent = [&](AttemptResult result) {
     Gateway g(s);
     g.Servers(1);
     int n = 0;
@@ -215,29 +215,29 @@
       const std::string id = "r" + std::to_string(n);
       const std::string to = Gateway::SentTo(g.Ask(id));
       if (to.empty()) break;
-      Outcome o{id, 0, to, result, false, 0, {}};
-      o.spent = true;  // no further try
+      AttemptOutcome o{id, 0, to, result, false, 0, {}};
+      o.not_replayable = true;  // no further try
       g.Do(o);
     }
     return n;
   };
-  EXPECT_EQ(sent(Result::kNotSent), 500);
-  EXPECT_LT(sent(Result::kCancelled), 100);
+  EXPECT_EQ(sent(AttemptResult::kNotSent), 500);
+  EXPECT_LT(sent(AttemptResult::kCancelled), 100);
 }
 
 // Guards a request that waits for its next try against late news of the one before.
 TEST(Events, AStreamOfAnAttemptThatHasEndedChangesNothing) {
   Settings s = MakeSettings();
-  s.most_out = 1;
+  s.max_attempts_in_flight = 1;
   Gateway g(s);
   g.Servers(2);
   g.Ask("a");
-  const std::string at = g.sent.back().server;
-  g.End("a", at, Result::kRejected, 5);  // it is sent on at once
+  const std::string at = g.sent.back().endpoint;
+  g.End("a", at, AttemptResult::kRejected, 5);  // it is sent on at once
   ASSERT_EQ(g.sent.size(), 2u);
-  g.Do(StreamStarted{"a", 0, 5});
-  const auto actions = g.End("a", g.sent.back().server, Result::kRejected, 5, 1);
-  EXPECT_EQ(Gateway::Count<Send>(actions) + Gateway::Count<Refuse>(actions), 1);
+  g.Do(ResponseStarted{"a", 0, 5});
+  const auto actions = g.End("a", g.sent.back().endpoint, AttemptResult::kRejected, 5, 1);
+  EXPECT_EQ(Gateway::Count<StartAttempt>(actions) + Gateway::Count<Reject>(actions), 1);
 }
 
 }  // namespace
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -34,9 +34,9 @@
 Settings SettingsFor(int gateways, int index, double steeper) {
   Settings s = MakeSettings();
   s.classes = {MakeClass("view")};
-  s.gateways = gateways, s.index = index;
-  s.cold_from = kColdFrom, s.cold_for = kColdFor;
-  s.fall_multiple = kMultiple * steeper;
+  s.gateway_count = gateways, s.gateway_index = index;
+  s.slow_start_fraction = kColdFrom, s.slow_start_duration = kColdFor;
+  s.overload_multiple = kMultiple * steeper;
   return s;
 }
 
@@ -50,8 +50,9 @@
       if (now_ == kStart) Started();
       for (; !ends_.empty() && ends_.top().at <= now_; ends_.pop()) {
         const End& e = ends_.top();
-        const Result result = e.fails ? Result::kError : Result::kServed;
-        Give(e.gateway, Outcome{e.request, e.attempt, e.server, result, !e.fails, e.at - e.sent, {}, false});
+        const AttemptResult result = e.fails ? AttemptResult::kError : AttemptResult::kServed;
+        Give(e.gateway,
+             AttemptOutcome{e.request, e.attempt, e.server, result, !e.fails, e.at - e.sent, {}, false});
       }
       for (int g = 0; g < gateways; ++g) {
         const int asked = std::poisson_distribution<int>(Rate(g) * kSweep / 1000)(random_);
@@ -61,7 +62,7 @@
           r.class_name = "view", r.time_left = 2000;
           Give(g, r);
         }
-        Give(g, TimerDue{"sweep"});
+        Give(g, TimerExpired{"sweep"});
       }
     }
   }
@@ -94,17 +95,17 @@
     if (modules_.size() <= index) modules_.resize(index + 1);
     modules_[index] = std::make_unique<Policy>(
         SettingsFor(gateways_, g, steeper_), seed_ * 1000 + static_cast<std::uint64_t>(g) + (told ? 500 : 0));
-    std::vector<Server> servers;
+    std::vector<Endpoint> servers;
     for (int i = 1; i < kServers; ++i) servers.push_back(MakeServer("s" + std::to_string(i)));
     if (told) servers.push_back(MakeServer("cold", "0", kEpoch + now_));
-    Give(g, ServerNews{ServerNews::Kind::kFull, servers});
+    Give(g, EndpointUpdate{EndpointUpdate::Kind::kSnapshot, servers});
   }
   void Started() {
     for (int g = 0; g < gateways_; ++g) {
       if (traffic_ == Traffic::kAllRestarted) {
         Begin(g, true);
       } else {
-        Give(g, ServerNews{ServerNews::Kind::kDelta, {MakeServer("cold", "0", kEpoch + now_)}});
+        Give(g, EndpointUpdate{EndpointUpdate::Kind::kDelta, {MakeServer("cold", "0", kEpoch + now_)}});
       }
     }
   }
@@ -117,15 +118,15 @@
   }
   void Give(int g, const Event& event) {
     std::vector<Action> actions;
-    modules_[static_cast<std::size_t>(g)]->handle(kEpoch + now_, event, actions);
+    modules_[static_cast<std::size_t>(g)]->Handle(kEpoch + now_, event, actions);
     for (const Action& action : actions) {
-      const auto* const send = std::get_if<Send>(&action);
+      const auto* const send = std::get_if<StartAttempt>(&action);
       if (send == nullptr) continue;
-      if (send->server == "cold") at_cold_.push_back(now_);
-      const bool fails = traffic_ == Traffic::kOthersFail && send->server != "cold" &&
+      if (send->endpoint == "cold") at_cold_.push_back(now_);
+      const bool fails = traffic_ == Traffic::kOthersFail && send->endpoint != "cold" &&
                          std::uniform_real_distribution<>()(random_) < 0.15;
       const Millis latency = fails ? 5 : 20 + std::exponential_distribution<>(1 / 60.0)(random_);
-      ends_.push({now_ + latency, now_, g, send->request, send->server, attempts_[send->request]++, fails});
+      ends_.push({now_ + latency, now_, g, send->request, send->endpoint, attempts_[send->request]++, fails});
     }
   }
 
--- a/tests/coordination/characterization_test.cpp
+++ b/tests/coordination/characterization_test.cpp
@@ -236,7 +236,7 @@
       return;
     }
     Host& host = truth_.hosts[random_.Index(truth_.hosts.size())];
-    host.server.state = random_.Chance(0.5) ? ServerState::kDraining : ServerState::kUp;
+    host.server.state = random_.Chance(0.5) ? EndpointState::kDraining : EndpointState::kUp;
     changed_ = {host};
   }
 
@@ -336,9 +336,9 @@
     arriving_[zone] = random.Between(0, 300);
     if (random.Chance(0.1)) sizes_[zone] = random.Below(9);
   }
-  [[nodiscard]] Sights Observe(int gateway, SplitMix64& random) const {
+  [[nodiscard]] ZoneLoadReport Observe(int gateway, SplitMix64& random) const {
     const std::size_t home = At(gateway) % 3;
-    Sights sights{Name(home), arriving_[home], {}};
+    ZoneLoadReport sights{Name(home), arriving_[home], {}};
     for (std::size_t zone = 0; zone < 3; ++zone) {
       const double ended = zone == home ? 50 : random.Below(8);
       const double size = sizes_[zone];
@@ -386,7 +386,7 @@
     if (duties_.size() <= At(g)) duties_.resize(At(g) + 1);
     ZoneDuty::Handlers handlers;
     handlers.send = [this, g](int to, const DutyWord& word) { Post(g, to, word); };
-    handlers.agreed = [this, g](const ZonesAgreed& state) { Agreed(g, state); };
+    handlers.agreed = [this, g](const ZoneAgreement& state) { Agreed(g, state); };
     duties_[At(g)] =
         std::make_unique<ZoneDuty>(g, size_, times_, clocks_.Now(g), clocks_.Elapsed(), handlers);
   }
@@ -418,7 +418,7 @@
 
   // A heartbeat: the others hear what this gateway observes, except some.
   void Tick(int g) {
-    const Sights own = weather_.Observe(g, random_);
+    const ZoneLoadReport own = weather_.Observe(g, random_);
     duties_[At(g)]->Beat(clocks_.Now(g), random_.Fraction(), own);
     for (int to = 0; to < size_; ++to) {
       if (to != g && random_.Chance(0.9)) duties_[At(to)]->See(clocks_.Now(to), g, own);
@@ -427,7 +427,7 @@
 
   // A message that nobody sent; its numbers are near those in use.
   DutyWord AnyWord() {
-    const ZonesAgreed& agreed = duties_[random_.Index(duties_.size())]->agreed();
+    const ZoneAgreement& agreed = duties_[random_.Index(duties_.size())]->agreed();
     const Token token = agreed.term + random_.Next() % 3;
     if (random_.Chance(0.3)) return ZonesVote{token, agreed.version + random_.Next() % 2};
     ZonesWord word;
@@ -438,14 +438,14 @@
     return word;
   }
 
-  void Agreed(int g, const ZonesAgreed& state) {
+  void Agreed(int g, const ZoneAgreement& state) {
     digest_.Add(g);
     digest_.Add(state.term);
     digest_.Add(state.version);
-    for (const ZonesAgreed::Zone& zone : state.zones) {
+    for (const ZoneAgreement::Zone& zone : state.zones) {
       digest_.Add(zone.name);
       digest_.Add(zone.health);
-      digest_.Add(zone.size);
+      digest_.Add(zone.capacity);
       digest_.Add(zone.demand);
     }
   }
@@ -502,7 +502,7 @@
     const int kind = random_.Below(10000);
     const int g = random_.Below(size_);
     if (kind < 6500) {
-      const Sights sights = weather_.Observe(g, random_);
+      const ZoneLoadReport sights = weather_.Observe(g, random_);
       judge_.See(now_, g, sights);
     } else if (kind < 9800) {
       Ask();
@@ -524,8 +524,8 @@
 
   // Another gateway's proposal came into force.
   void Replace() {
-    std::vector<ZonesAgreed::Zone> next = agreed_;
-    for (ZonesAgreed::Zone& zone : next) {
+    std::vector<ZoneAgreement::Zone> next = agreed_;
+    for (ZoneAgreement::Zone& zone : next) {
       if (random_.Chance(0.5)) zone.health = 0.1 * random_.Below(11);
     }
     judge_.Agreed(now_, agreed_, next);
@@ -533,10 +533,10 @@
   }
 
   void AddState() {
-    for (const ZonesAgreed::Zone& zone : agreed_) {
+    for (const ZoneAgreement::Zone& zone : agreed_) {
       digest_.Add(zone.name);
       digest_.Add(zone.health);
-      digest_.Add(zone.size);
+      digest_.Add(zone.capacity);
       digest_.Add(zone.demand);
     }
   }
@@ -545,7 +545,7 @@
   const int size_;
   ZoneJudge judge_;
   ZoneWeather weather_;
-  std::vector<ZonesAgreed::Zone> agreed_;
+  std::vector<ZoneAgreement::Zone> agreed_;
   Digest digest_;
   Millis now_ = 1000;
 };
--- a/tests/coordination/message_fixtures_test.cpp
+++ b/tests/coordination/message_fixtures_test.cpp
@@ -45,7 +45,7 @@
   return recorded;
 }
 
-Host MakeHost(const std::string& id, ServerState state) {
+Host MakeHost(const std::string& id, EndpointState state) {
   Host host;
   host.server.id = id;
   host.server.zone = "north";
@@ -66,8 +66,8 @@
   part.complete = complete;
   part.part = 1;
   part.parts = 3;
-  part.hosts = {MakeHost("host-1", ServerState::kUp), MakeHost("host-2", ServerState::kDraining),
-                MakeHost("host-3", ServerState::kGone)};
+  part.hosts = {MakeHost("host-1", EndpointState::kUp), MakeHost("host-2", EndpointState::kDraining),
+                MakeHost("host-3", EndpointState::kRemoved)};
   return part;
 }
 
