--- a/tests/decision/characterization_test.cpp
+++ b/tests/decision/characterization_test.cpp
@@ -76,13 +76,13 @@
 
 struct ActionDigest {
   Digest& digest;
-  void operator()(const Send& action) {
+  void operator()(const StartAttempt& action) {
     digest.Add(1);
     digest.Add(action.request);
-    digest.Add(action.server);
+    digest.Add(action.endpoint);
     digest.Add(action.timeout);
   }
-  void operator()(const Refuse& action) {
+  void operator()(const Reject& action) {
     digest.Add(2);
     digest.Add(action.request);
     digest.Add(action.retry_after);
@@ -91,7 +91,7 @@
     digest.Add(3);
     digest.Add(action.request);
   }
-  void operator()(const Cancel& action) {
+  void operator()(const CancelAttempt& action) {
     digest.Add(4);
     digest.Add(action.request);
     digest.Add(action.attempt);
@@ -101,80 +101,80 @@
     digest.Add(action.delay);
     digest.Add(action.name);
   }
-  void operator()(const Watch&) { digest.Add(6); }
+  void operator()(const PollEndpoints&) { digest.Add(6); }
   void operator()(const Log&) { digest.Add(7); }
 };
 
-void AddLearned(Digest& digest, const Recollection& learned) {
-  for (const auto& of_server : learned.servers) {
+void AddLearned(Digest& digest, const LearnedState& learned) {
+  for (const auto& of_server : learned.endpoints) {
     digest.Add(of_server.id);
     digest.Add(of_server.latency);
-    digest.Add(of_server.steady);
-    digest.Add(of_server.base);
-    digest.Add(of_server.limit);
-    digest.Add(of_server.failing);
+    digest.Add(of_server.average_latency);
+    digest.Add(of_server.uncongested_latency);
+    digest.Add(of_server.concurrency_limit);
+    digest.Add(of_server.failure_rate);
     digest.Add(of_server.samples);
-    digest.Add(of_server.suspect);
-    digest.Add(of_server.lost);
-    digest.Add(of_server.last_served);
-    digest.Add(of_server.cold_since);
-    digest.Add(of_server.cold_credit);
+    digest.Add(of_server.ejected);
+    digest.Add(of_server.connection_failed);
+    digest.Add(of_server.last_served_at);
+    digest.Add(of_server.started_at);
+    digest.Add(of_server.slow_start_credit);
   }
   for (const auto& of_kind : learned.kinds) {
     digest.Add(of_kind.name);
     digest.Add(of_kind.latency);
-    digest.Add(of_kind.steady);
-    digest.Add(of_kind.base);
+    digest.Add(of_kind.average_latency);
+    digest.Add(of_kind.uncongested_latency);
     digest.Add(of_kind.samples);
   }
   for (const auto& of_class : learned.classes) {
     digest.Add(of_class.name);
     digest.Add(of_class.latency);
-    digest.Add(of_class.most_left);
+    digest.Add(of_class.observed_time_budget);
     digest.Add(of_class.samples);
   }
-  for (const std::string& id : learned.out_by_hand) digest.Add(id);
+  for (const std::string& id : learned.in_maintenance) digest.Add(id);
   digest.Add(learned.rate);
-  digest.Add(learned.spent_rate);
-  digest.Add(learned.arriving);
-  digest.Add(learned.failing);
-  digest.Add(learned.unserved);
-  digest.Add(learned.warm_served);
+  digest.Add(learned.dispatch_rate);
+  digest.Add(learned.arrival_rate);
+  digest.Add(learned.untimely_share);
+  digest.Add(learned.failure_rate);
+  digest.Add(learned.warm_responses);
   digest.Add(learned.warm_time);
   digest.Add(learned.mean_latency);
   digest.Add(learned.samples);
 }
 
 void AddSnapshot(Digest& digest, const Policy& policy) {
-  AddLearned(digest, policy.recall());
-  const auto census = policy.census();
-  digest.Add(census.listed);
-  digest.Add(census.avoided);
-  digest.Add(census.open);
+  AddLearned(digest, policy.Snapshot());
+  const auto census = policy.CollectStats();
+  digest.Add(census.endpoints);
+  digest.Add(census.unavailable);
+  digest.Add(census.open_requests);
   digest.Add(census.queued);
   digest.Add(census.in_flight);
-  digest.Add(census.held);
-  digest.Add(census.used);
-  digest.Add(census.sharers);
-  const auto gossip = policy.gossip();
+  digest.Add(census.tunnels);
+  digest.Add(census.subset);
+  digest.Add(census.active_gateways);
+  const auto gossip = policy.CollectGossip();
   for (const auto& start : gossip.started) {
-    digest.Add(start.server);
-    digest.Add(start.at);
+    digest.Add(start.endpoint);
+    digest.Add(start.started_at);
   }
   for (const std::string& id : gossip.recovered) digest.Add(id);
-  const auto sights = policy.sights();
+  const auto sights = policy.CollectZoneLoad();
   digest.Add(sights.zone);
-  digest.Add(sights.arriving);
+  digest.Add(sights.arrival_rate);
   for (const auto& sight : sights.zones) {
     digest.Add(sight.zone);
-    digest.Add(sight.size);
-    digest.Add(sight.fit);
-    digest.Add(sight.ended);
-    digest.Add(sight.good);
+    digest.Add(sight.capacity);
+    digest.Add(sight.available);
+    digest.Add(sight.completed);
+    digest.Add(sight.within_objective);
   }
-  for (const auto& part : policy.parts()) {
-    digest.Add(part.first);
-    digest.Add(part.second);
+  for (const auto& part : policy.ZoneWeights()) {
+    digest.Add(part.zone);
+    digest.Add(part.weight);
   }
 }
 
@@ -201,20 +201,22 @@
   Settings settings;
   const char* const names[] = {"view", "order", "charge", "report"};
   for (int i = 0; i < 4; ++i) {
-    ClassSettings c;
+    TrafficClassSettings c;
     c.name = names[i];
-    c.aim = 150 + 100 * i;
+    c.latency_objective = 150 + 100 * i;
     c.deadline = 400 + 300 * i;
-    c.worth = 1 + i;
-    c.late_worth = i % 2 == 0 ? 0.4 : 0;
-    c.effect = i == 1 ? Effect::kKeyed : i == 2 ? Effect::kUnsafe : Effect::kSafe;
-    c.group = Group::kZone;
-    c.repeat_window = i == 1 ? 900 : 0;
+    c.priority_weight = 1 + i;
+    c.late_weight = i % 2 == 0 ? 0.4 : 0;
+    c.idempotency = i == 1   ? Idempotency::kIdempotencyKey
+                    : i == 2 ? Idempotency::kNonIdempotent
+                             : Idempotency::kIdempotent;
+    c.dedup_scope = DedupScope::kZone;
+    c.dedup_window = i == 1 ? 900 : 0;
     settings.classes.push_back(c);
   }
   settings.zone = "z0";
   settings.max_attempts = 3;
-  settings.retry_after = true;
+  settings.sends_retry_after = true;
   settings.max_retry_after = 800;
   return settings;
 }
@@ -231,34 +233,34 @@
   add("pushed");
   {
     Scenario& s = add("polled");
-    s.settings.ask_for_list = true;
-    s.settings.ask_within = 3000;
-    s.settings.gateways = 5;
-    s.settings.index = 2;
+    s.settings.polls_endpoints = true;
+    s.settings.max_poll_interval = 3000;
+    s.settings.gateway_count = 5;
+    s.settings.gateway_index = 2;
   }
   {
     Scenario& s = add("overload");
     s.pause = 0.6;
     s.servers = 5;
-    s.settings.most_out = 40;
-    s.settings.may_cancel = true;
+    s.settings.max_attempts_in_flight = 40;
+    s.settings.can_cancel_attempts = true;
   }
   {
     Scenario& s = add("fleet");
-    s.settings.gateways = 300;
-    s.settings.index = 117;
+    s.settings.gateway_count = 300;
+    s.settings.gateway_index = 117;
     s.servers = 60;
     s.failing = 0.2;
     s.pause = 30;
   }
   {
     Scenario& s = add("fleet_multiplexed");
-    s.settings.gateways = 90;
-    s.settings.streams = 8;
+    s.settings.gateway_count = 90;
+    s.settings.streams_per_connection = 8;
     s.servers = 40;
     s.restarts = true;
-    s.settings.cold_from = 0.1;
-    s.settings.cold_for = 15000;
+    s.settings.slow_start_fraction = 0.1;
+    s.settings.slow_start_duration = 15000;
     s.maintenance = true;
   }
   {
@@ -269,8 +271,8 @@
       tenant.quota_per_s = 25 * i;
       s.settings.tenants.push_back(tenant);
     }
-    s.settings.marks_retry = true;
-    s.settings.gateways = 2;
+    s.settings.clients_mark_retries = true;
+    s.settings.gateway_count = 2;
     s.pause = 2;
   }
   {
@@ -283,29 +285,29 @@
   }
   {
     Scenario& s = add("keyed_affinity");
-    s.settings.warm_keys = true;
-    s.settings.report_fields = {"inflight", "util"};
-    s.settings.classes[1].group = Group::kCell;
-    s.settings.classes[3].effect = Effect::kKeyed;
-    s.settings.classes[3].repeat_window = 3000;
-    s.settings.classes[3].group = Group::kAll;
+    s.settings.key_affinity = true;
+    s.settings.load_report_fields = {"inflight", "util"};
+    s.settings.classes[1].dedup_scope = DedupScope::kCell;
+    s.settings.classes[3].idempotency = Idempotency::kIdempotencyKey;
+    s.settings.classes[3].dedup_window = 3000;
+    s.settings.classes[3].dedup_scope = DedupScope::kAll;
     s.failing = 0.15;
   }
   {
     Scenario& s = add("cold");
-    s.settings.cold_from = 0.05;
-    s.settings.cold_for = 8000;
-    s.settings.fall_multiple = 2.5;
-    s.settings.report_fields = {"util"};
+    s.settings.slow_start_fraction = 0.05;
+    s.settings.slow_start_duration = 8000;
+    s.settings.overload_multiple = 2.5;
+    s.settings.load_report_fields = {"util"};
     s.restarts = true;
     s.maintenance = true;
   }
   {
     Scenario& s = add("peers");
-    s.settings.gateways = 6;
-    s.settings.subset = 4;
-    s.settings.cold_from = 0.1;
-    s.settings.cold_for = 6000;
+    s.settings.gateway_count = 6;
+    s.settings.subset_size = 4;
+    s.settings.slow_start_fraction = 0.1;
+    s.settings.slow_start_duration = 6000;
     s.servers = 24;
     s.peers = true;
     s.restarts = true;
@@ -313,71 +315,71 @@
   }
   {
     Scenario& s = add("zones");
-    s.settings.locality.on = true;
-    s.settings.locality.regions = {{"z0", 0}, {"z1", 0}, {"z2", 1}};
-    s.settings.gateways = 4;
+    s.settings.zone_routing.enabled = true;
+    s.settings.zone_routing.regions = {{"z0", 0}, {"z1", 0}, {"z2", 1}};
+    s.settings.gateway_count = 4;
     s.zones = true;
     s.servers = 18;
     s.failing = 0.1;
   }
   {
     Scenario& s = add("zones_peers");
-    s.settings.locality.on = true;
-    s.settings.locality.spare = 1.2;
-    s.settings.locality.most_extra = 0.5;
-    s.settings.gateways = 12;
-    s.settings.subset = 8;
+    s.settings.zone_routing.enabled = true;
+    s.settings.zone_routing.overprovisioning = 1.2;
+    s.settings.zone_routing.max_overflow = 0.5;
+    s.settings.gateway_count = 12;
+    s.settings.subset_size = 8;
     s.zones = true;
     s.peers = true;
     s.restarts = true;
-    s.settings.cold_from = 0.2;
-    s.settings.cold_for = 4000;
+    s.settings.slow_start_fraction = 0.2;
+    s.settings.slow_start_duration = 4000;
     s.servers = 30;
   }
   {
     Scenario& s = add("tunnels");
     s.tunnels = true;
-    s.settings.most_held = 4;
-    s.settings.may_cancel = true;
+    s.settings.max_tunnels_per_endpoint = 4;
+    s.settings.can_cancel_attempts = true;
     s.maintenance = true;
   }
   {
     Scenario& s = add("bodies");
     s.bodies = true;
-    s.settings.may_cancel = true;
-    s.settings.report_fields = {"util", "inflight"};
+    s.settings.can_cancel_attempts = true;
+    s.settings.load_report_fields = {"util", "inflight"};
   }
   {
     Scenario& s = add("reconfigured");
     s.reconfigures = true;
     s.bodies = true;
     s.maintenance = true;
-    s.settings.marks_retry = true;
+    s.settings.clients_mark_retries = true;
   }
   {
     Scenario& s = add("restored");
     s.restores = true;
     s.maintenance = true;
     s.restarts = true;
-    s.settings.cold_from = 0.3;
-    s.settings.cold_for = 5000;
+    s.settings.slow_start_fraction = 0.3;
+    s.settings.slow_start_duration = 5000;
   }
   {
     Scenario& s = add("everything");
     s.bodies = s.tunnels = s.restarts = s.peers = s.zones = s.maintenance = s.reconfigures = s.restores =
         true;
-    s.settings.locality.on = true;
-    s.settings.locality.regions = {{"z0", 0}, {"z1", 0}};
-    s.settings.gateways = 10;
-    s.settings.subset = 6;
-    s.settings.most_held = 6;
-    s.settings.may_cancel = true;
-    s.settings.marks_retry = true;
-    s.settings.warm_keys = true;
-    s.settings.report_fields = {"util"};
-    s.settings.ask_for_list = true;
-    s.settings.cold_from = 0.1;
-    s.settings.cold_for = 5000;
+    s.settings.zone_routing.enabled = true;
+    s.settings.zone_routing.regions = {{"z0", 0}, {"z1", 0}};
+    s.settings.gateway_count = 10;
+    s.settings.subset_size = 6;
+    s.settings.max_tunnels_per_endpoint = 6;
+    s.settings.can_cancel_attempts = true;
+    s.settings.clients_mark_retries = true;
+    s.settings.key_affinity = true;
+    s.settings.load_report_fields = {"util"};
+    s.settings.polls_endpoints = true;
+    s.settings.slow_start_fraction = 0.1;
+    s.settings.slow_start_duration = 5000;
     TenantSettings tenant;
     tenant.name = "t0";
     tenant.quota_per_s = 40;
@@ -398,7 +400,7 @@
   }
 
   std::uint64_t Play(int events) {
-    TellList(ServerNews::Kind::kFull);
+    TellList(EndpointUpdate::Kind::kSnapshot);
     for (int i = 0; i < events; ++i) {
       now_ += random_.Between(0, 2 * scenario_.pause);
       if (random_.Chance(0.001)) now_ += random_.Between(100, 4000);
@@ -430,7 +432,7 @@
     if (kind < 860) return EndAttempt();
     if (kind < 880) return Leave();
     if (kind < 900) return TellChange();
-    if (kind < 904) return TellList(ServerNews::Kind::kFull);
+    if (kind < 904) return TellList(EndpointUpdate::Kind::kSnapshot);
     if (kind < 908) return TellFailed();
     if (kind < 918 && scenario_.maintenance) return Maintain();
     if (kind < 940 && scenario_.bodies) return CompleteBody();
@@ -446,7 +448,7 @@
 
   void Handle(const Event& event) {
     std::vector<Action> actions;
-    policy_->handle(now_, event, actions);
+    policy_->Handle(now_, event, actions);
     digest_.Add(static_cast<int>(actions.size()));
     for (const Action& action : actions) {
       std::visit(ActionDigest{digest_}, action);
@@ -455,16 +457,16 @@
   }
 
   void Follow(const Action& action) {
-    if (const auto* send = std::get_if<Send>(&action)) {
+    if (const auto* send = std::get_if<StartAttempt>(&action)) {
       OpenRequest& open = requests_[send->request];
       OpenAttempt attempt;
       attempt.request = send->request;
       attempt.attempt = open.attempts++;
-      attempt.server = send->server;
+      attempt.server = send->endpoint;
       attempt.sent = now_;
       attempt.timeout = send->timeout;
       attempts_.push_back(attempt);
-    } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+    } else if (const auto* refuse = std::get_if<Reject>(&action)) {
       requests_[refuse->request].answered = true;
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
       requests_[fail->request].answered = true;
@@ -480,7 +482,7 @@
       timers_.erase(timers_.begin());
       now_ = std::max(due, last_);
       last_ = now_;
-      TimerDue event;
+      TimerExpired event;
       event.name = name;
       Handle(event);
     }
@@ -488,9 +490,9 @@
     last_ = now_;
   }
 
-  Server NewServer() {
+  Endpoint NewServer() {
     const int number = next_server_++;
-    Server server;
+    Endpoint server;
     server.id = "s" + std::to_string(number);
     server.zone = "z" + std::to_string(number % 3);
     server.kind = number % 4 == 3 ? "large" : "small";
@@ -512,28 +514,29 @@
     request.time_left = c.deadline * (random_.Chance(0.7) ? 1 : random_.Between(0.02, 1.2));
     if (random_.Chance(0.002)) request.time_left = std::numeric_limits<double>::quiet_NaN();
     if (random_.Chance(0.002)) request.time_left = -5;
-    request.retry = random_.Chance(0.15);
-    request.coming = scenario_.bodies && random_.Chance(0.2);
-    if (random_.Chance(0.1)) request.effect = c.effect;
-    if (random_.Chance(0.01)) request.effect = Effect::kKeyed;
+    request.is_retry = random_.Chance(0.15);
+    request.body_pending = scenario_.bodies && random_.Chance(0.2);
+    if (random_.Chance(0.1)) request.idempotency = c.idempotency;
+    if (random_.Chance(0.01)) request.idempotency = Idempotency::kIdempotencyKey;
     if (scenario_.tunnels) {
-      request.holds = random_.Chance(0.3);
-      if (random_.Chance(0.15)) request.only = servers_[random_.Next() % servers_.size()].id;
+      request.is_tunnel = random_.Chance(0.3);
+      if (random_.Chance(0.15)) request.pinned_endpoint = servers_[random_.Next() % servers_.size()].id;
     }
-    requests_[request.id].coming = request.coming;
+    requests_[request.id].coming = request.body_pending;
     latest_ = request.id;
     Handle(request);
   }
 
   std::size_t AnyAttempt() { return static_cast<std::size_t>(random_.Next() % attempts_.size()); }
 
-  Result DrawResult(const OpenAttempt& attempt, bool timed_out) {
-    if (timed_out) return Result::kTimedOut;
+  AttemptResult DrawResult(const OpenAttempt& attempt, bool timed_out) {
+    if (timed_out) return AttemptResult::kTimedOut;
     const double failing = bad_[attempt.server] ? 0.7 : scenario_.failing;
-    if (!random_.Chance(failing)) return Result::kServed;
-    const Result results[] = {Result::kError,         Result::kRejected, Result::kConnectFailed,
-                              Result::kConnectFailed, Result::kReset,    Result::kCancelled,
-                              Result::kNotSent,       Result::kTimedOut};
+    if (!random_.Chance(failing)) return AttemptResult::kServed;
+    const AttemptResult results[] = {AttemptResult::kError,         AttemptResult::kRejected,
+                                     AttemptResult::kConnectFailed, AttemptResult::kConnectFailed,
+                                     AttemptResult::kReset,         AttemptResult::kCancelled,
+                                     AttemptResult::kNotSent,       AttemptResult::kTimedOut};
     return results[random_.Below(8)];
   }
 
@@ -547,55 +550,55 @@
     attempts_.erase(attempts_.begin() + static_cast<std::ptrdiff_t>(index));
     OpenRequest& open = requests_[attempt.request];
     const bool timed_out = now_ - attempt.sent >= attempt.timeout && !attempt.streams;
-    Outcome outcome;
+    AttemptOutcome outcome;
     outcome.request = attempt.request;
     outcome.attempt = attempt.attempt;
-    outcome.server = attempt.server;
+    outcome.endpoint = attempt.server;
     outcome.result = DrawResult(attempt, timed_out);
-    outcome.finished = open.answered;
+    outcome.request_finished = open.answered;
     outcome.latency = timed_out ? attempt.timeout : random_.Between(2, bad_[attempt.server] ? 500 : 120);
     if (random_.Chance(0.002)) outcome.latency = std::numeric_limits<double>::quiet_NaN();
     if (random_.Chance(0.9)) {
-      for (std::size_t i = 0; i < settings_.report_fields.size(); ++i) {
+      for (std::size_t i = 0; i < settings_.load_report_fields.size(); ++i) {
         outcome.load.push_back(random_.Chance(0.02) ? std::numeric_limits<double>::quiet_NaN()
                                                     : random_.Between(0, 1.3));
       }
     }
-    outcome.spent = scenario_.bodies && random_.Chance(0.1);
-    if (outcome.result == Result::kServed) open.answered = true;
+    outcome.not_replayable = scenario_.bodies && random_.Chance(0.1);
+    if (outcome.result == AttemptResult::kServed) open.answered = true;
     Handle(outcome);
   }
 
   void Leave() {
-    ClientGone event;
+    ClientDisconnected event;
     event.request = attempts_.empty() || random_.Chance(0.3) ? latest_ : attempts_[AnyAttempt()].request;
     requests_[event.request].answered = true;
     Handle(event);
   }
 
-  void TellList(ServerNews::Kind kind) {
-    ServerNews news;
+  void TellList(EndpointUpdate::Kind kind) {
+    EndpointUpdate news;
     news.kind = kind;
-    news.servers = servers_;
+    news.endpoints = servers_;
     Handle(news);
   }
 
   void TellFailed() {
-    ServerNews news;
-    news.kind = ServerNews::Kind::kFailed;
+    EndpointUpdate news;
+    news.kind = EndpointUpdate::Kind::kFailed;
     Handle(news);
   }
 
   void TellChange() {
-    ServerNews news;
-    news.kind = ServerNews::Kind::kDelta;
-    Server& server = servers_[random_.Next() % servers_.size()];
+    EndpointUpdate news;
+    news.kind = EndpointUpdate::Kind::kDelta;
+    Endpoint& server = servers_[random_.Next() % servers_.size()];
     const int what = random_.Below(10);
     if (what < 3) {
-      server.state = server.state == ServerState::kUp ? ServerState::kDraining : ServerState::kUp;
+      server.state = server.state == EndpointState::kUp ? EndpointState::kDraining : EndpointState::kUp;
     } else if (what < 5) {
-      server.state = ServerState::kGone;
-      news.servers.push_back(server);
+      server.state = EndpointState::kRemoved;
+      news.endpoints.push_back(server);
       server = NewServer();
     } else if (what < 8 && scenario_.restarts) {
       server.started_at = now_ - random_.Between(0, 500);
@@ -604,21 +607,21 @@
     } else {
       server.weight = random_.Chance(0.1) ? -1 : random_.Between(0.5, 3);
     }
-    news.servers.push_back(server);
+    news.endpoints.push_back(server);
     Handle(news);
   }
 
   void Maintain() {
     const std::string& id = servers_[random_.Next() % servers_.size()].id;
     if (random_.Chance(0.45)) {
-      ServerOut event;
-      event.server = random_.Chance(0.05) ? "unknown" : id;
+      MaintenanceStarted event;
+      event.endpoint = random_.Chance(0.05) ? "unknown" : id;
       Handle(event);
     } else {
-      ServerBack event;
-      event.server = id;
-      const auto out = policy_->recall().out_by_hand;
-      if (!out.empty()) event.server = out[random_.Next() % out.size()];
+      MaintenanceEnded event;
+      event.endpoint = id;
+      const auto out = policy_->Snapshot().in_maintenance;
+      if (!out.empty()) event.endpoint = out[random_.Next() % out.size()];
       Handle(event);
     }
   }
@@ -628,7 +631,7 @@
       OpenRequest& open = requests_[attempt.request];
       if (!open.coming) continue;
       open.coming = false;
-      RequestWhole event;
+      RequestBodyComplete event;
       event.request = attempt.request;
       event.time_left = random_.Between(50, 600);
       return Handle(event);
@@ -640,7 +643,7 @@
     OpenAttempt& attempt = attempts_[AnyAttempt()];
     requests_[attempt.request].answered = true;
     attempt.streams = true;
-    StreamStarted event;
+    ResponseStarted event;
     event.request = attempt.request;
     event.attempt = attempt.attempt;
     event.latency = random_.Chance(0.1) ? 0 : random_.Between(1, 150);
@@ -648,22 +651,22 @@
   }
 
   void AdoptTunnel() {
-    Held event;
-    event.server = servers_[random_.Next() % servers_.size()].id;
-    event.more = random_.Chance(0.5) ? 1 : -1;
+    TunnelCountChanged event;
+    event.endpoint = servers_[random_.Next() % servers_.size()].id;
+    event.delta = random_.Chance(0.5) ? 1 : -1;
     Handle(event);
   }
 
   void TellPeers() {
-    PeerNews event;
-    event.listed = random_.Chance(0.05) ? settings_.gateways + 1 : settings_.gateways;
-    event.present = 1 + random_.Below(event.listed + 1);
-    event.place = random_.Below(event.listed);
-    event.in_touch_until = now_ + random_.Between(-200, 1500);
+    MembershipUpdate event;
+    event.configured = random_.Chance(0.05) ? settings_.gateway_count + 1 : settings_.gateway_count;
+    event.present = 1 + random_.Below(event.configured + 1);
+    event.rank = random_.Below(event.configured);
+    event.quorum_until = now_ + random_.Between(-200, 1500);
     if (random_.Chance(0.4)) {
       Gossip::Start start;
-      start.server = servers_[random_.Next() % servers_.size()].id;
-      start.at = now_ - random_.Between(-100, 3000);
+      start.endpoint = servers_[random_.Next() % servers_.size()].id;
+      start.started_at = now_ - random_.Between(-100, 3000);
       event.gossip.started.push_back(start);
     }
     if (random_.Chance(0.4)) {
@@ -673,15 +676,15 @@
   }
 
   void TellZones() {
-    ZonesAgreed event;
+    ZoneAgreement event;
     event.term = 1 + static_cast<std::uint64_t>(random_.Below(3));
     event.version = ++zone_version_;
     for (int i = 0; i < 3; ++i) {
       if (random_.Chance(0.05)) continue;
-      ZonesAgreed::Zone zone;
+      ZoneAgreement::Zone zone;
       zone.name = "z" + std::to_string(i);
       zone.health = random_.Chance(0.4) ? 1 : 0.1 * random_.Below(11);
-      zone.size = 4 + random_.Below(6);
+      zone.capacity = 4 + random_.Below(6);
       zone.demand = random_.Between(0, 200);
       event.zones.push_back(zone);
     }
@@ -689,12 +692,14 @@
   }
 
   void Reconfigure() {
-    ClassSettings& c = settings_.classes[random_.Next() % settings_.classes.size()];
-    c.aim = random_.Between(60, 400);
-    c.worth = random_.Between(0.5, 4);
-    if (random_.Chance(0.3)) c.effect = c.effect == Effect::kSafe ? Effect::kUnsafe : Effect::kSafe;
+    TrafficClassSettings& c = settings_.classes[random_.Next() % settings_.classes.size()];
+    c.latency_objective = random_.Between(60, 400);
+    c.priority_weight = random_.Between(0.5, 4);
+    if (random_.Chance(0.3))
+      c.idempotency =
+          c.idempotency == Idempotency::kIdempotent ? Idempotency::kNonIdempotent : Idempotency::kIdempotent;
     settings_.max_attempts = 1 + random_.Below(4);
-    settings_.retry_after = random_.Chance(0.5);
+    settings_.sends_retry_after = random_.Chance(0.5);
     if (settings_.classes.size() > 2 && random_.Chance(0.2)) settings_.classes.pop_back();
     SettingsChanged event;
     event.settings = settings_;
@@ -703,23 +708,23 @@
 
   // A successor takes over: it gets the list first, then what was learned.
   void Restore() {
-    const Recollection learned = policy_->recall();
+    const LearnedState learned = policy_->Snapshot();
     AddLearned(digest_, learned);
     policy_ = std::make_unique<Policy>(settings_, ++restores_);
     timers_.clear();
     attempts_.clear();
     requests_.clear();
-    TellList(ServerNews::Kind::kFull);
+    TellList(EndpointUpdate::Kind::kSnapshot);
     Handle(learned);
   }
 
   // Events about what does not exist, or no more.
   void TellNonsense() {
     if (random_.Chance(0.5)) {
-      Outcome outcome;
+      AttemptOutcome outcome;
       outcome.request = random_.Chance(0.5) ? "unknown" : latest_;
       outcome.attempt = random_.Below(4) - 1;
-      outcome.server = "s0";
+      outcome.endpoint = "s0";
       return Handle(outcome);
     }
     Request request;  // again under an id that is in use
@@ -736,7 +741,7 @@
   Digest digest_;
   Millis now_ = 1000, last_ = 0;
   std::multimap<Millis, std::string> timers_;
-  std::vector<Server> servers_;
+  std::vector<Endpoint> servers_;
   std::map<std::string, bool> bad_;
   std::vector<OpenAttempt> attempts_;
   std::map<std::string, OpenRequest> requests_;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -289,39 +289,39 @@
   EXPECT_EQ(good.listen, good.all[0].address);
 }
 
-PeerNews News(int listed, int present, Millis until, int place = 0) {
+MembershipUpdate News(int listed, int present, Millis until, int place = 0) {
   return {listed, present, place, until, {}};
 }
 
 TEST(Shares, FollowWhatMoreThanHalfAgreeOnAndStayWhenTouchIsLost) {
   Settings s = MakeSettings();
-  s.gateways = 4;
+  s.gateway_count = 4;
   Gateway g(s);
   g.Servers(8);
-  EXPECT_EQ(g.policy.census().sharers, 4);
+  EXPECT_EQ(g.policy.CollectStats().active_gateways, 4);
   g.Do(News(4, 4, g.now + 1000));
-  EXPECT_EQ(g.policy.census().sharers, 4);
+  EXPECT_EQ(g.policy.CollectStats().active_gateways, 4);
   g.Do(News(4, 3, g.now + 1000));
-  EXPECT_EQ(g.policy.census().sharers, 3);
+  EXPECT_EQ(g.policy.CollectStats().active_gateways, 3);
   g.Do(News(4, 1, g.now - 1));  // cut off: alone, as far as it can see
-  EXPECT_EQ(g.policy.census().sharers, 3);
+  EXPECT_EQ(g.policy.CollectStats().active_gateways, 3);
   g.Do(News(5, 1, g.now - 1));  // and the list has grown meanwhile
-  EXPECT_EQ(g.policy.census().sharers, 5);
+  EXPECT_EQ(g.policy.CollectStats().active_gateways, 5);
   Gateway never(s);
   never.Servers(8);
   never.Do(News(6, 1, 0));
-  EXPECT_EQ(never.policy.census().sharers, 6);
+  EXPECT_EQ(never.policy.CollectStats().active_gateways, 6);
 }
 
 TEST(Shares, SubsetsOfAllGatewaysCoverAllServersEvenly) {
   Settings s = MakeSettings();
-  s.gateways = 5, s.subset = 4;
+  s.gateway_count = 5, s.subset_size = 4;
   std::map<std::string, int> loads;
   for (int g = 0; g < 5; ++g) {
     Gateway gateway(s, static_cast<std::uint64_t>(g) + 1);
     gateway.Servers(10);
     gateway.Do(News(5, 5, gateway.now + 1e6, g));
-    EXPECT_EQ(gateway.policy.census().used, 4);
+    EXPECT_EQ(gateway.policy.CollectStats().subset, 4);
     const auto taken = gateway.Serve(200);
     EXPECT_EQ(taken.size(), 4u);
     for (const auto& [server, n] : taken) ++loads[server];
@@ -332,7 +332,7 @@
 
 TEST(Shares, OneMoreServerComesInForEachThatIsEjected) {
   Settings s = MakeSettings();
-  s.subset = 3;
+  s.subset_size = 3;
   Gateway g(s);
   g.Servers(10);
   g.Do(News(8, 8, g.now + 1e6));
@@ -340,10 +340,10 @@
   for (int i = 0; i < 60; ++i) {
     const std::string id = "bad" + std::to_string(i), server = Gateway::SentTo(g.Ask(id));
     g.now += 10;
-    g.End(id, server, server == bad ? Result::kError : Result::kServed, 10);
+    g.End(id, server, server == bad ? AttemptResult::kError : AttemptResult::kServed, 10);
   }
-  EXPECT_EQ(g.policy.census().used, 4);
-  EXPECT_EQ(g.policy.gossip().recovered.size(), 0u);
+  EXPECT_EQ(g.policy.CollectStats().subset, 4);
+  EXPECT_EQ(g.policy.CollectGossip().recovered.size(), 0u);
 }
 
 // Its clock is ahead, or it was stopped when the list told: it takes a server that has just started for warm.
@@ -354,23 +354,23 @@
     g->now = 100000;
     g->Servers(4);
     g->Serve(50, 10);
-    Server started = MakeServer("s1", "0", g == &knows ? g->now - 200 : g->now - 60000);
-    g->Do(ServerNews{ServerNews::Kind::kDelta, {started}});
+    Endpoint started = MakeServer("s1", "0", g == &knows ? g->now - 200 : g->now - 60000);
+    g->Do(EndpointUpdate{EndpointUpdate::Kind::kDelta, {started}});
   }
-  ASSERT_EQ(knows.policy.gossip().started.size(), 1u);
-  EXPECT_TRUE(ahead.policy.gossip().started.empty());
+  ASSERT_EQ(knows.policy.CollectGossip().started.size(), 1u);
+  EXPECT_TRUE(ahead.policy.CollectGossip().started.empty());
   const auto sent_to_s1 = [](Gateway& g) {
     int n = 0;
     for (int i = 0; i < 40; ++i) n += Gateway::SentTo(g.Ask("burst" + std::to_string(i))) == "s1";
     return n;
   };
   Gateway told = std::move(ahead);
-  PeerNews news = News(2, 2, told.now + 1000);
-  news.gossip = knows.policy.gossip();
+  MembershipUpdate news = News(2, 2, told.now + 1000);
+  news.gossip = knows.policy.CollectGossip();
   told.Do(news);
   EXPECT_LE(sent_to_s1(told), 1);
-  EXPECT_TRUE(told.policy.gossip().started.empty()) << "what was heard is not passed on as known";
-  news.gossip.started[0].at = told.now - s.cold_for - 1;  // long ago: nothing is renewed
+  EXPECT_TRUE(told.policy.CollectGossip().started.empty()) << "what was heard is not passed on as known";
+  news.gossip.started[0].started_at = told.now - s.slow_start_duration - 1;  // long ago: nothing is renewed
   told.Do(news);
 }
 
@@ -381,18 +381,19 @@
     int at_cold = 0;
     for (int n = 0; n < kGateways; ++n) {
       Settings s = MakeSettings();
-      s.gateways = kGateways, s.index = n, s.cold_from = 0.1, s.cold_for = 60000;
+      s.gateway_count = kGateways, s.gateway_index = n, s.slow_start_fraction = 0.1,
+      s.slow_start_duration = 60000;
       Gateway g(s, 100 + static_cast<std::uint64_t>(n));
       g.now = 100000;
       g.Servers(4);
       if (shared) g.Do(News(kGateways, kGateways, g.now + 1e9, n));
       g.Serve(200, 40);
-      g.Do(ServerNews{ServerNews::Kind::kDelta, {MakeServer("s1", "0", g.now)}});
+      g.Do(EndpointUpdate{EndpointUpdate::Kind::kDelta, {MakeServer("s1", "0", g.now)}});
       for (int i = 0; i < 40; ++i) {  // quiet: now and then a request, which the others take
         g.Pass(100);
         const std::string id = "quiet" + std::to_string(i), server = Gateway::SentTo(g.Ask(id));
         g.now += 40;
-        g.End(id, server, Result::kServed, 40);
+        g.End(id, server, AttemptResult::kServed, 40);
       }
       for (int i = 0; i < 12; ++i) at_cold += Gateway::SentTo(g.Ask("burst" + std::to_string(i))) == "s1";
     }
@@ -411,7 +412,7 @@
     int tried = 0;
     for (int n = 0; n < kGateways; ++n) {
       Settings s = MakeSettings();
-      s.gateways = kGateways;
+      s.gateway_count = kGateways;
       Gateway g(s, 50 + static_cast<std::uint64_t>(n));
       g.Servers(3);
       if (shared) g.Do(News(kGateways, kGateways, g.now + 1e9, n));
@@ -422,13 +423,13 @@
           const std::string id = "r" + std::to_string(g.warmed++), server = Gateway::SentTo(g.Ask(id));
           g.now += 10;
           at += server == "s1";
-          g.End(id, server, server == "s1" ? Result::kError : Result::kServed, 10);
+          g.End(id, server, server == "s1" ? AttemptResult::kError : AttemptResult::kServed, 10);
         }
         return at;
       };
       serve(100);  // by now it is a suspect
       if (hears) {
-        PeerNews news = News(kGateways, kGateways, g.now + 1e9, n);
+        MembershipUpdate news = News(kGateways, kGateways, g.now + 1e9, n);
         news.gossip.recovered = {"s1"};
         g.Do(news);
       }
--- a/tests/gateway.hpp
+++ b/tests/gateway.hpp
@@ -11,30 +11,32 @@
 
 namespace meadowyard::testing {
 
-inline ClassSettings MakeClass(std::string name, Effect effect = Effect::kSafe, double worth = 1) {
-  ClassSettings c;
+inline TrafficClassSettings MakeClass(std::string name, Idempotency effect = Idempotency::kIdempotent,
+                                      double worth = 1) {
+  TrafficClassSettings c;
   c.name = std::move(name);
-  c.aim = 1000;
+  c.latency_objective = 1000;
   c.deadline = 2000;
-  c.worth = worth;
-  c.effect = effect;
-  c.group = Group::kCell;
-  c.repeat_window = 5000;
+  c.priority_weight = worth;
+  c.idempotency = effect;
+  c.dedup_scope = DedupScope::kCell;
+  c.dedup_window = 5000;
   return c;
 }
 
 inline Settings MakeSettings() {
   Settings s;
-  s.classes = {MakeClass("view"), MakeClass("key", Effect::kKeyed), MakeClass("pay", Effect::kUnsafe)};
+  s.classes = {MakeClass("view"), MakeClass("key", Idempotency::kIdempotencyKey),
+               MakeClass("pay", Idempotency::kNonIdempotent)};
   s.max_attempts = 3;
-  s.may_cancel = true;
-  s.cold_from = 0.2;
-  s.cold_for = 10000;
+  s.can_cancel_attempts = true;
+  s.slow_start_fraction = 0.2;
+  s.slow_start_duration = 10000;
   return s;
 }
 
-inline Server MakeServer(std::string id, std::string cell = "0", Millis started_at = 0) {
-  Server s;
+inline Endpoint MakeServer(std::string id, std::string cell = "0", Millis started_at = 0) {
+  Endpoint s;
   s.id = std::move(id);
   s.zone = "z" + cell;
   s.kind = "k";
@@ -49,18 +51,20 @@
 
   std::vector<Action> Do(const Event& event) {
     std::vector<Action> actions;
-    policy.handle(now, event, actions);
+    policy.Handle(now, event, actions);
     for (const Action& a : actions) {
-      if (const auto* send = std::get_if<Send>(&a)) sent.push_back(*send);
+      if (const auto* send = std::get_if<StartAttempt>(&a)) sent.push_back(*send);
     }
     return actions;
   }
 
-  void List(std::vector<Server> servers) { Do(ServerNews{ServerNews::Kind::kFull, std::move(servers)}); }
+  void List(std::vector<Endpoint> servers) {
+    Do(EndpointUpdate{EndpointUpdate::Kind::kSnapshot, std::move(servers)});
+  }
 
   // Brings `n` servers named s0, s1 ... that have been up for long.
   void Servers(int n) {
-    std::vector<Server> servers;
+    std::vector<Endpoint> servers;
     for (int i = 0; i < n; ++i) servers.push_back(MakeServer("s" + std::to_string(i)));
     List(servers);
   }
@@ -75,16 +79,16 @@
     return Do(r);
   }
 
-  std::vector<Action> End(const std::string& id, const std::string& server, Result result, Millis latency,
-                          int attempt = 0) {
-    return Do(Outcome{id, attempt, server, result, result == Result::kServed, latency, {}});
+  std::vector<Action> End(const std::string& id, const std::string& server, AttemptResult result,
+                          Millis latency, int attempt = 0) {
+    return Do(AttemptOutcome{id, attempt, server, result, result == AttemptResult::kServed, latency, {}});
   }
 
   std::vector<Action> Pass(Millis ms) {  // lets time go by, sweeping as the timer would
     std::vector<Action> all;
     for (const Millis until = now + ms; now < until;) {
       now = std::min(until, now + 10);
-      for (auto& a : Do(TimerDue{"sweep"})) all.push_back(a);
+      for (auto& a : Do(TimerExpired{"sweep"})) all.push_back(a);
     }
     return all;
   }
@@ -98,23 +102,23 @@
       const std::string server = SentTo(Ask(id, cls));
       ++taken[server];
       now += latency;
-      Do(TimerDue{"sweep"});
-      if (!server.empty()) End(id, server, Result::kServed, latency);
+      Do(TimerExpired{"sweep"});
+      if (!server.empty()) End(id, server, AttemptResult::kServed, latency);
     }
     return taken;
   }
 
   static std::string SentTo(const std::vector<Action>& actions) {
     for (const Action& a : actions) {
-      if (const auto* send = std::get_if<Send>(&a)) return send->server;
+      if (const auto* send = std::get_if<StartAttempt>(&a)) return send->endpoint;
     }
     return "";
   }
 
-  static bool Logged(const std::vector<Action>& actions, const std::string& words) {
+  static bool Logged(const std::vector<Action>& actions, Log::Event event) {
     return std::any_of(actions.begin(), actions.end(), [&](const Action& a) {
       const auto* log = std::get_if<Log>(&a);
-      return log != nullptr && log->text.find(words) != std::string::npos;
+      return log != nullptr && log->event == event;
     });
   }
 
@@ -127,7 +131,7 @@
   Policy policy;
   Millis now = 1000;
   int warmed = 0;
-  std::vector<Send> sent;
+  std::vector<StartAttempt> sent;
 };
 
 }  // namespace meadowyard::testing
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -17,8 +17,8 @@
 namespace meadowyard::testing {
 namespace {
 
-Server MakeHost(const std::string& id) {
-  Server server;
+Endpoint MakeHost(const std::string& id) {
+  Endpoint server;
   server.id = id;
   return server;
 }
@@ -264,13 +264,13 @@
 // Guards against leaving hosts out for resets that all of them see alike: soon there is nowhere to send.
 TEST(Gateway, KeepsHostsInThatResetNoMoreThanTheOthers) {
   const auto words = WordsWhileEveryFourth([](const Peer::Taken& request) { request.on->Reset(); });
-  EXPECT_EQ(words.find("not ready"), std::string::npos) << words;
+  EXPECT_EQ(words.find("endpoint_ejected"), std::string::npos) << words;
 }
 
 // Guards against a rate cut for failures that no crowding can have caused: one request at a time is out.
 TEST(Gateway, DoesNotCutTheRateWhileItsHostsStandIdle) {
   const auto words = WordsWhileEveryFourth([](const Peer::Taken& request) { request.Answer(500, ""); });
-  EXPECT_EQ(words.find("rate cut"), std::string::npos) << words;
+  EXPECT_EQ(words.find("dispatch_rate_reduced"), std::string::npos) << words;
 }
 
 // Guards against a host that turns requests away drawing ever more of them, as it looks idle: it rests for as
@@ -496,8 +496,8 @@
   EXPECT_EQ(world.host().requests[0].http.body(), "body");
 }
 
-Policy::Admission ViewOnly(const std::string& name, Effect) {
-  return name == "view" ? Policy::Admission::kYes : Policy::Admission::kNoClass;
+Policy::Admission ViewOnly(const std::string& name, Idempotency) {
+  return name == "view" ? Policy::Admission::kAccepted : Policy::Admission::kUnknownClass;
 }
 
 // Guards the places of usual clients: those that say nothing, or half a request, are told off or closed in
@@ -705,14 +705,14 @@
   meadowyard::HostList list;
   list.hosts.push_back({MakeHost("h0"), at});
   pool.Update(list);
-  std::optional<Result> result;
+  std::optional<AttemptResult> result;
   const auto call = std::make_shared<const Call>(Call{"GET", "/api", {}, ""});
   Errand errand;
   errand.call = call;
   errand.deadline = meadowyard::Now() + 20000;
-  errand.done = [&](Result r, Reply) { result = r; };
+  errand.done = [&](AttemptResult r, Reply) { result = r; };
   pool.Start("h0", std::move(errand));
-  list.hosts[0].server.state = ServerState::kDraining;
+  list.hosts[0].server.state = EndpointState::kDraining;
   pool.Update(list);
   std::vector<tcp::socket> accepted;
   ASSERT_TRUE(RunUntil(io, [&] {
@@ -721,7 +721,7 @@
     if (!ec) accepted.push_back(std::move(socket));
     return result.has_value();
   }));
-  EXPECT_EQ(*result, Result::kNotSent);
+  EXPECT_EQ(*result, AttemptResult::kNotSent);
   EXPECT_EQ(pool.connections(), 0u);
   for (auto& socket : accepted) {
     error_code ec;
@@ -737,27 +737,27 @@
   meadowyard::HostList list;
   list.hosts = {{MakeHost("h1"), one.address()}, {MakeHost("h2"), two.address()}};
   pool.Update(list);
-  std::vector<Result> results;
+  std::vector<AttemptResult> results;
   const auto call = std::make_shared<const Call>(Call{"GET", "/api", {}, ""});
   const auto start = [&](const char* host) {
     Errand errand;
     errand.call = call;
     errand.deadline = meadowyard::Now() + 60000;
-    errand.done = [&](Result r, Reply) { results.push_back(r); };
+    errand.done = [&](AttemptResult r, Reply) { results.push_back(r); };
     return pool.Start(host, std::move(errand));
   };
   start("h1");
   const auto second = start("h1");
   ASSERT_TRUE(RunUntil(io, [&] { return one.requests.size() == 2; }));
   start("h2");
-  EXPECT_EQ(results, std::vector<Result>{Result::kNotSent});
+  EXPECT_EQ(results, std::vector<AttemptResult>{AttemptResult::kNotSent});
   one.requests[0].Answer(200, "");
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 2; }));
   start("h2");
   EXPECT_TRUE(RunUntil(io, [&] { return two.requests.size() == 1; }));
   EXPECT_EQ(pool.connections(), 2u);
   pool.Cancel(second);
-  EXPECT_EQ(results.back(), Result::kCancelled);
+  EXPECT_EQ(results.back(), AttemptResult::kCancelled);
   EXPECT_EQ(pool.connections(), 1u);
 }
 
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -328,7 +328,7 @@
   std::function<bool(int, int)> lost = [](int, int) { return false; };
 };
 
-HostList Hosts(std::int64_t revision, int first, int n, ServerState state = ServerState::kUp) {
+HostList Hosts(std::int64_t revision, int first, int n, EndpointState state = EndpointState::kUp) {
   HostList list;
   list.revision = revision;
   for (int i = first; i < first + n; ++i) {
@@ -351,7 +351,7 @@
   r.lost = [&](int from, int) { return from == holder; };
   r.Told(holder, Hosts(6, 50, 45));  // nobody hears of it
   r.lost = [](int, int) { return false; };
-  HostList drained = Hosts(7, 3, 1, ServerState::kDraining);
+  HostList drained = Hosts(7, 3, 1, EndpointState::kDraining);
   drained.complete = false;
   r.Told(holder, drained);
   r.Pass(100);
@@ -370,7 +370,7 @@
   const int first = r.Holder();
   ASSERT_GE(first, 0);
   const int other = (first + 1) % 3;
-  r.Told(other, Hosts(9, 0, 2, ServerState::kDraining));  // it has heard of more
+  r.Told(other, Hosts(9, 0, 2, EndpointState::kDraining));  // it has heard of more
   r.Pass(500);
   EXPECT_EQ(r.lists[static_cast<std::size_t>(other)].revision, 9);
   r.duties[static_cast<std::size_t>(first)]->Failed(r.now);
@@ -387,7 +387,7 @@
   r.Pass(3000);
   const int holder = r.Holder(), other = (holder + 1) % 3;
   const Token token = r.duties[static_cast<std::size_t>(holder)]->Status(r.now)["token"];
-  ListPart late{token - 256, 6, 5, false, 0, 1, Hosts(6, 0, 2, ServerState::kDraining).hosts};
+  ListPart late{token - 256, 6, 5, false, 0, 1, Hosts(6, 0, 2, EndpointState::kDraining).hosts};
   r.duties[static_cast<std::size_t>(other)]->Hear(r.now, (holder + 2) % 3, DutyWord(late));
   EXPECT_EQ(r.lists[static_cast<std::size_t>(other)].revision, 5);
   ASSERT_FALSE(r.letters.empty());
--- a/tests/live_settings_test.cpp
+++ b/tests/live_settings_test.cpp
@@ -119,7 +119,7 @@
   const auto sent = [&] { return world.host(0).requests.size() + world.host(1).requests.size(); };
   ASSERT_TRUE(world.Until([&] { return sent() == 1; }));
   world.gateway->Reload(Changed(world, [](Settings& s) {
-    s.classes[0].effect = Effect::kUnsafe;  // "view" was safe
+    s.classes[0].idempotency = Idempotency::kNonIdempotent;  // "view" was safe
     s.classes.push_back(s.classes[2]);
     s.classes.back().name = "book";
   }));
--- a/tests/membership/fixture_test.cpp
+++ b/tests/membership/fixture_test.cpp
@@ -61,9 +61,10 @@
 
 Beat HeartbeatWithZones() {
   Beat beat = HeartbeatWithGossip();
-  beat.sights = Sights{.zone = "a",
-                       .arriving = 123.456,
-                       .zones = {{"a", 12, 11.5, 4096, 4000.25}, {"b", 8, 0, 0, 0}, {"", 1, 1, 1, 1}}};
+  beat.sights =
+      ZoneLoadReport{.zone = "a",
+                     .arrival_rate = 123.456,
+                     .zones = {{"a", 12, 11.5, 4096, 4000.25}, {"b", 8, 0, 0, 0}, {"", 1, 1, 1, 1}}};
   return beat;
 }
 
@@ -78,18 +79,19 @@
           {"heartbeat_zones.cbor", HeartbeatWithZones()}};
 }
 
-void ExpectSameZones(const std::optional<Sights>& read, const std::optional<Sights>& written) {
+void ExpectSameZones(const std::optional<ZoneLoadReport>& read,
+                     const std::optional<ZoneLoadReport>& written) {
   ASSERT_EQ(read.has_value(), written.has_value());
   if (!read) return;
   EXPECT_EQ(read->zone, written->zone);
-  EXPECT_EQ(read->arriving, written->arriving);
+  EXPECT_EQ(read->arrival_rate, written->arrival_rate);
   ASSERT_EQ(read->zones.size(), written->zones.size());
   for (std::size_t i = 0; i < read->zones.size(); ++i) {
     EXPECT_EQ(read->zones[i].zone, written->zones[i].zone);
-    EXPECT_EQ(read->zones[i].size, written->zones[i].size);
-    EXPECT_EQ(read->zones[i].fit, written->zones[i].fit);
-    EXPECT_EQ(read->zones[i].ended, written->zones[i].ended);
-    EXPECT_EQ(read->zones[i].good, written->zones[i].good);
+    EXPECT_EQ(read->zones[i].capacity, written->zones[i].capacity);
+    EXPECT_EQ(read->zones[i].available, written->zones[i].available);
+    EXPECT_EQ(read->zones[i].completed, written->zones[i].completed);
+    EXPECT_EQ(read->zones[i].within_objective, written->zones[i].within_objective);
   }
 }
 
@@ -230,9 +232,9 @@
   for (const PeerAddress& peer : config.all) out << "peer " << peer.name << " " << peer.address << "\n";
   out << "subset " << config.subset << "\nbeat " << config.beat << "\nsilent " << config.silent << "\ngone "
       << config.gone << "\nshare_list " << config.share_list << "\nlease " << config.lease << "\n";
-  const Locality& locality = config.locality;
-  out << "locality " << locality.on << " " << locality.spare << " " << locality.panic << " "
-      << locality.most_extra << "\n";
+  const ZoneRoutingSettings& locality = config.locality;
+  out << "locality " << locality.enabled << " " << locality.overprovisioning << " "
+      << locality.panic_threshold << " " << locality.max_overflow << "\n";
   for (const auto& [zone, region] : locality.regions) out << "region " << zone << " " << region << "\n";
   const ZoneJudge::Times& zones = config.zones;
   out << "zones " << zones.fresh << " " << zones.falls << " " << zones.rises << " " << zones.settles << " "
--- a/tests/neighbours_test.cpp
+++ b/tests/neighbours_test.cpp
@@ -35,8 +35,8 @@
 class Street {
  public:
   explicit Street(const Behaviour& bad) : bad_(bad), policy_(SettingsOf(bad), 3) {
-    ServerNews news;
-    for (int h = 0; h < kHosts; ++h) news.servers.push_back(MakeServer("h" + std::to_string(h)));
+    EndpointUpdate news;
+    for (int h = 0; h < kHosts; ++h) news.endpoints.push_back(MakeServer("h" + std::to_string(h)));
     Handle(news);
     for (const char* tenant : {"nord", "vik"}) Come(tenant, 80, 1, [this, tenant] { Usual(tenant); });
     At(kPhase, [this] {
@@ -84,11 +84,11 @@
 
   static Settings SettingsOf(const Behaviour& bad) {
     Settings s;
-    ClassSettings view = MakeClass("view", Effect::kSafe, 2);
-    view.aim = 600, view.deadline = 1500;
+    TrafficClassSettings view = MakeClass("view", Idempotency::kIdempotent, 2);
+    view.latency_objective = 600, view.deadline = 1500;
     s.classes = {view};
     s.max_attempts = 3;
-    s.may_cancel = s.retry_after = s.marks_retry = s.warm_keys = true;
+    s.can_cancel_attempts = s.sends_retry_after = s.clients_mark_retries = s.key_affinity = true;
     s.max_retry_after = 2000;
     if (bad.quotas) s.tenants = {{"nord", 110}, {"vik", 110}, {"bad", 100}};
     return s;
@@ -116,7 +116,7 @@
            int tries) {
     Request r;
     r.id = "r" + std::to_string(next_++);
-    r.class_name = "view", r.tenant = tenant, r.key = key, r.time_left = left, r.retry = retry;
+    r.class_name = "view", r.tenant = tenant, r.key = key, r.time_left = left, r.is_retry = retry;
     calls_[r.id] = {tenant, now_, Exponential(work), false, tries, 0};
     ++shares[now_ >= kPhase][tenant].asked;
     Handle(r);
@@ -124,12 +124,12 @@
 
   void Handle(const Event& event) {
     std::vector<Action> actions;
-    policy_.handle(now_, event, actions);
+    policy_.Handle(now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<Send>(&action)) Start(*send);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) Refused(refuse->request);
+      if (const auto* send = std::get_if<StartAttempt>(&action)) Start(*send);
+      if (const auto* refuse = std::get_if<Reject>(&action)) Refused(refuse->request);
       if (const auto* timer = std::get_if<SetTimer>(&action))
-        At(now_ + timer->delay, [this, name = timer->name] { Handle(TimerDue{name}); });
+        At(now_ + timer->delay, [this, name = timer->name] { Handle(TimerExpired{name}); });
     }
   }
   void Refused(const std::string& id) {
@@ -140,23 +140,23 @@
       At(now_ + 1, [this, tries] { Bad(true, tries); });
     }
   }
-  void Start(const Send& send) {
+  void Start(const StartAttempt& send) {
     Call& call = calls_[send.request];
     const int attempt = call.attempts++;
-    At(now_ + send.timeout, [=, this, id = send.request, host = send.server] {
-      if (out_.contains({id, attempt})) End(id, attempt, host, Result::kTimedOut, now_ - send.timeout);
+    At(now_ + send.timeout, [=, this, id = send.request, host = send.endpoint] {
+      if (out_.contains({id, attempt})) End(id, attempt, host, AttemptResult::kTimedOut, now_ - send.timeout);
     });
     out_.insert({send.request, attempt});
     sent_[{send.request, attempt}] = now_;
-    Host& host = hosts_[send.server];
+    Host& host = hosts_[send.endpoint];
     if (host.busy >= kCores && static_cast<int>(host.waiting.size()) >= kWaiting) {
-      At(now_ + 0.5, [=, this, id = send.request, at = send.server] {
-        if (out_.contains({id, attempt})) End(id, attempt, at, Result::kRejected, now_ - 0.5);
+      At(now_ + 0.5, [=, this, id = send.request, at = send.endpoint] {
+        if (out_.contains({id, attempt})) End(id, attempt, at, AttemptResult::kRejected, now_ - 0.5);
       });
       return;
     }
     host.waiting.push_back({send.request, attempt, call.work});
-    Work(send.server);
+    Work(send.endpoint);
   }
   void Work(const std::string& name) {
     Host& host = hosts_[name];
@@ -168,21 +168,21 @@
       At(now_ + job.work, [=, this] {
         --hosts_[name].busy;
         if (out_.contains({job.id, job.attempt}))
-          End(job.id, job.attempt, name, Result::kServed, sent_[{job.id, job.attempt}]);
+          End(job.id, job.attempt, name, AttemptResult::kServed, sent_[{job.id, job.attempt}]);
         Work(name);
       });
     }
   }
-  void End(const std::string& id, int attempt, const std::string& host, Result result, Millis sent) {
+  void End(const std::string& id, int attempt, const std::string& host, AttemptResult result, Millis sent) {
     out_.erase({id, attempt});
     Call& call = calls_[id];
-    if (result == Result::kServed && !call.over) {
+    if (result == AttemptResult::kServed && !call.over) {
       call.over = true;
       Share& share = shares[call.came >= kPhase][call.tenant];
       share.in_time += now_ - call.came <= 600;
       share.waited += now_ - call.came;
     }
-    Handle(Outcome{id, attempt, host, result, call.over, now_ - sent, {}});
+    Handle(AttemptOutcome{id, attempt, host, result, call.over, now_ - sent, {}});
   }
 
   const Behaviour& bad_;
--- a/tests/operations/handover_format_test.cpp
+++ b/tests/operations/handover_format_test.cpp
@@ -41,23 +41,23 @@
 }
 
 HostList FixtureHosts() {
-  Server up;
+  Endpoint up;
   up.id = "web-1";
   up.zone = "north";
   up.kind = "large";
   up.cell = "3";
   up.weight = 2.5;
   up.started_at = 1700000000123.25;
-  Server draining;
+  Endpoint draining;
   draining.id = "web-\xc3\xa9";
   draining.zone = "south";
   draining.kind = "small";
   draining.cell = "\"c/7\"";
-  draining.state = ServerState::kDraining;
+  draining.state = EndpointState::kDraining;
   draining.weight = 0.1;
-  Server gone;
+  Endpoint gone;
   gone.id = "web-3";
-  gone.state = ServerState::kGone;
+  gone.state = EndpointState::kRemoved;
   HostList hosts;
   hosts.revision = 9007199254740993;  // more than a double holds
   hosts.hosts = {
@@ -65,60 +65,60 @@
   return hosts;
 }
 
-Recollection FixtureLearnedState() {
-  Recollection::OfServer trusted;
+LearnedState FixtureLearnedState() {
+  LearnedState::OfEndpoint trusted;
   trusted.id = "web-1";
   trusted.latency = 1.0 / 3;
-  trusted.steady = 0.1;
-  trusted.base = 2.2250738585072014e-308;
-  trusted.limit = 17.75;
-  trusted.failing = 1e-9;
+  trusted.average_latency = 0.1;
+  trusted.uncongested_latency = 2.2250738585072014e-308;
+  trusted.concurrency_limit = 17.75;
+  trusted.failure_rate = 1e-9;
   trusted.samples = 2147483647;
-  trusted.last_served = 86400000.5;
-  trusted.cold_since = -1e15;
-  trusted.cold_credit = 0.30000000000000004;
-  Recollection::OfServer suspect;
+  trusted.last_served_at = 86400000.5;
+  trusted.started_at = -1e15;
+  trusted.slow_start_credit = 0.30000000000000004;
+  LearnedState::OfEndpoint suspect;
   suspect.id = "web-\xc3\xa9";
   suspect.latency = 1.5;
-  suspect.steady = 2;
-  suspect.base = 3;
-  suspect.limit = 4;
-  suspect.failing = 0.875;
+  suspect.average_latency = 2;
+  suspect.uncongested_latency = 3;
+  suspect.concurrency_limit = 4;
+  suspect.failure_rate = 0.875;
   suspect.samples = 5;
-  suspect.suspect = true;
-  suspect.last_served = -12.5;
-  suspect.cold_since = 99;
-  suspect.cold_credit = 6;
-  Recollection::OfServer lost;
+  suspect.ejected = true;
+  suspect.last_served_at = -12.5;
+  suspect.started_at = 99;
+  suspect.slow_start_credit = 6;
+  LearnedState::OfEndpoint lost;
   lost.id = "web-3";
-  lost.lost = true;
-  Recollection::OfKind kind;
+  lost.connection_failed = true;
+  LearnedState::OfKind kind;
   kind.name = "large";
   kind.latency = 1.25;
-  kind.steady = 1.125;
-  kind.base = 0.7;
+  kind.average_latency = 1.125;
+  kind.uncongested_latency = 0.7;
   kind.samples = 41;
-  Recollection::OfKind other_kind;
+  LearnedState::OfKind other_kind;
   other_kind.name = "small";
-  Recollection::OfClass traffic_class;
+  LearnedState::OfClass traffic_class;
   traffic_class.name = "view";
   traffic_class.latency = 20.2;
-  traffic_class.most_left = 499.5;
+  traffic_class.observed_time_budget = 499.5;
   traffic_class.samples = 3;
-  Recollection::OfClass other_class;
+  LearnedState::OfClass other_class;
   other_class.name = "pay";
   other_class.latency = 1e300;
-  Recollection learned;
-  learned.servers = {trusted, suspect, lost};
+  LearnedState learned;
+  learned.endpoints = {trusted, suspect, lost};
   learned.kinds = {kind, other_kind};
   learned.classes = {traffic_class, other_class};
-  learned.out_by_hand = {"web-3", "never-listed"};
+  learned.in_maintenance = {"web-3", "never-listed"};
   learned.rate = 123.456;
-  learned.spent_rate = 11.1;
-  learned.arriving = 0.0625;
-  learned.failing = 0.01;
-  learned.unserved = 0.02;
-  learned.warm_served = 33.3;
+  learned.dispatch_rate = 11.1;
+  learned.arrival_rate = 0.0625;
+  learned.untimely_share = 0.01;
+  learned.failure_rate = 0.02;
+  learned.warm_responses = 33.3;
   learned.warm_time = 44.4;
   learned.mean_latency = 5.55;
   learned.samples = 67;
@@ -146,36 +146,36 @@
   return {std::istreambuf_iterator<char>(stream), std::istreambuf_iterator<char>()};
 }
 
-void ExpectEqual(const Recollection::OfServer& read, const Recollection::OfServer& expected) {
+void ExpectEqual(const LearnedState::OfEndpoint& read, const LearnedState::OfEndpoint& expected) {
   SCOPED_TRACE(expected.id);
   EXPECT_EQ(read.id, expected.id);
   EXPECT_EQ(read.latency, expected.latency);
-  EXPECT_EQ(read.steady, expected.steady);
-  EXPECT_EQ(read.base, expected.base);
-  EXPECT_EQ(read.limit, expected.limit);
-  EXPECT_EQ(read.failing, expected.failing);
+  EXPECT_EQ(read.average_latency, expected.average_latency);
+  EXPECT_EQ(read.uncongested_latency, expected.uncongested_latency);
+  EXPECT_EQ(read.concurrency_limit, expected.concurrency_limit);
+  EXPECT_EQ(read.failure_rate, expected.failure_rate);
   EXPECT_EQ(read.samples, expected.samples);
-  EXPECT_EQ(read.suspect, expected.suspect);
-  EXPECT_EQ(read.lost, expected.lost);
-  EXPECT_EQ(read.last_served, expected.last_served);
-  EXPECT_EQ(read.cold_since, expected.cold_since);
-  EXPECT_EQ(read.cold_credit, expected.cold_credit);
+  EXPECT_EQ(read.ejected, expected.ejected);
+  EXPECT_EQ(read.connection_failed, expected.connection_failed);
+  EXPECT_EQ(read.last_served_at, expected.last_served_at);
+  EXPECT_EQ(read.started_at, expected.started_at);
+  EXPECT_EQ(read.slow_start_credit, expected.slow_start_credit);
 }
 
-void ExpectEqual(const Recollection::OfKind& read, const Recollection::OfKind& expected) {
+void ExpectEqual(const LearnedState::OfKind& read, const LearnedState::OfKind& expected) {
   SCOPED_TRACE(expected.name);
   EXPECT_EQ(read.name, expected.name);
   EXPECT_EQ(read.latency, expected.latency);
-  EXPECT_EQ(read.steady, expected.steady);
-  EXPECT_EQ(read.base, expected.base);
+  EXPECT_EQ(read.average_latency, expected.average_latency);
+  EXPECT_EQ(read.uncongested_latency, expected.uncongested_latency);
   EXPECT_EQ(read.samples, expected.samples);
 }
 
-void ExpectEqual(const Recollection::OfClass& read, const Recollection::OfClass& expected) {
+void ExpectEqual(const LearnedState::OfClass& read, const LearnedState::OfClass& expected) {
   SCOPED_TRACE(expected.name);
   EXPECT_EQ(read.name, expected.name);
   EXPECT_EQ(read.latency, expected.latency);
-  EXPECT_EQ(read.most_left, expected.most_left);
+  EXPECT_EQ(read.observed_time_budget, expected.observed_time_budget);
   EXPECT_EQ(read.samples, expected.samples);
 }
 
@@ -190,18 +190,18 @@
 TEST(HandoverFormat, ReadsTheLearnedStateOfFf1d420) {
   const auto state = ParseState(StateFixture());
   ASSERT_TRUE(state);
-  const Recollection& read = state->learned;
-  const Recollection expected = FixtureLearnedState();
-  ExpectEqual(read.servers, expected.servers);
+  const LearnedState& read = state->learned;
+  const LearnedState expected = FixtureLearnedState();
+  ExpectEqual(read.endpoints, expected.endpoints);
   ExpectEqual(read.kinds, expected.kinds);
   ExpectEqual(read.classes, expected.classes);
-  EXPECT_EQ(read.out_by_hand, expected.out_by_hand);
+  EXPECT_EQ(read.in_maintenance, expected.in_maintenance);
   EXPECT_EQ(read.rate, expected.rate);
-  EXPECT_EQ(read.spent_rate, expected.spent_rate);
-  EXPECT_EQ(read.arriving, expected.arriving);
-  EXPECT_EQ(read.failing, expected.failing);
-  EXPECT_EQ(read.unserved, expected.unserved);
-  EXPECT_EQ(read.warm_served, expected.warm_served);
+  EXPECT_EQ(read.dispatch_rate, expected.dispatch_rate);
+  EXPECT_EQ(read.arrival_rate, expected.arrival_rate);
+  EXPECT_EQ(read.untimely_share, expected.untimely_share);
+  EXPECT_EQ(read.failure_rate, expected.failure_rate);
+  EXPECT_EQ(read.warm_responses, expected.warm_responses);
   EXPECT_EQ(read.warm_time, expected.warm_time);
   EXPECT_EQ(read.mean_latency, expected.mean_latency);
   EXPECT_EQ(read.samples, expected.samples);
--- a/tests/orders.hpp
+++ b/tests/orders.hpp
@@ -41,14 +41,14 @@
   struct Call {
     int request = 0;
     std::string cls;
-    Effect effect = Effect::kSafe;
+    Idempotency idempotency = Idempotency::kIdempotent;
     Millis patience = kPatience;
     bool holds = false;  // a tunnel
   };
   virtual ~Seat() = default;
   virtual bool Admits(const Call& call) = 0;
   virtual void Arrive(const Call& call) = 0;
-  virtual void Outcome(int request, int attempt, Result result, bool over) = 0;
+  virtual void Outcome(int request, int attempt, AttemptResult result, bool over) = 0;
   virtual void Begins(int request, int attempt) = 0;  // its answer, or the tunnel, goes to the client
   virtual void Gone(int request) = 0;
   virtual void Tell(const Event& event) = 0;  // news of hosts, by hand, settings
@@ -59,25 +59,25 @@
 
 inline Settings MakeSettings(int gateways, bool retuned) {
   Settings s;
-  const auto add = [&](const char* name, Effect effect) {
-    ClassSettings c;
-    c.name = name, c.aim = kAim, c.deadline = kPatience, c.effect = effect;
-    c.group = Group::kCell, c.repeat_window = kRepeats;
+  const auto add = [&](const char* name, Idempotency effect) {
+    TrafficClassSettings c;
+    c.name = name, c.latency_objective = kAim, c.deadline = kPatience, c.idempotency = effect;
+    c.dedup_scope = DedupScope::kCell, c.dedup_window = kRepeats;
     s.classes.push_back(c);
   };
-  add("view", retuned ? Effect::kUnsafe : Effect::kSafe);
-  if (!retuned) add("key", Effect::kKeyed);
-  add("pay", Effect::kUnsafe);
-  s.gateways = gateways;
+  add("view", retuned ? Idempotency::kNonIdempotent : Idempotency::kIdempotent);
+  if (!retuned) add("key", Idempotency::kIdempotencyKey);
+  add("pay", Idempotency::kNonIdempotent);
+  s.gateway_count = gateways;
   s.max_attempts = kAttempts;
-  s.may_cancel = s.retry_after = true;
+  s.can_cancel_attempts = s.sends_retry_after = true;
   s.max_retry_after = 2000;
-  s.cold_from = kColdFrom, s.cold_for = 10000, s.fall_multiple = kFallMultiple;
+  s.slow_start_fraction = kColdFrom, s.slow_start_duration = 10000, s.overload_multiple = kFallMultiple;
   return s;
 }
 
-inline Server MakeHost(int host, ServerState state, Millis started_at) {
-  Server s;
+inline Endpoint MakeHost(int host, EndpointState state, Millis started_at) {
+  Endpoint s;
   s.id = "h" + std::to_string(host);
   s.cell = s.zone = host == 2 ? "b" : "a";
   s.kind = "k";
@@ -96,7 +96,7 @@
   };
   struct Request {
     int gateway = 0;
-    Effect effect = Effect::kSafe;
+    Idempotency idempotency = Idempotency::kIdempotent;
     Millis arrived = 0, until = 0;
     Millis idle_since = 0;  // with no attempt out
     bool over = false;      // answered, or its client left
@@ -115,8 +115,9 @@
     for (const Attempt& a : r.attempts) {
       if (a.out) return Broken("two attempts at once");
       if (!a.ran) continue;
-      if (r.effect == Effect::kUnsafe) return Broken("ran twice");
-      if (r.effect == Effect::kKeyed && ((a.host == 2) != (host == 2) || now - a.sent >= kRepeats))
+      if (r.idempotency == Idempotency::kNonIdempotent) return Broken("ran twice");
+      if (r.idempotency == Idempotency::kIdempotencyKey &&
+          ((a.host == 2) != (host == 2) || now - a.sent >= kRepeats))
         return Broken("repeated where repeats are not dropped");
     }
     Idle(r);
@@ -134,7 +135,7 @@
         std::any_of(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return a.out; });
     const bool ran =
         std::any_of(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return a.ran; });
-    if (end == End::kRefused && r.effect != Effect::kSafe && ran)
+    if (end == End::kRefused && r.idempotency != Idempotency::kIdempotent && ran)
       return Broken("refused though it may have run");
     if (!out) Idle(r);
   }
@@ -186,8 +187,8 @@
   Play(int gateways, const MakeSeat& make) : referee_(gateways) {
     for (int g = 0; g < gateways; ++g) {
       seats_.push_back(make(g, gateways, referee_, referee_.now));
-      ServerNews all;
-      for (int h = 0; h < kHosts; ++h) all.servers.push_back(MakeHost(h, ServerState::kUp, 0));
+      EndpointUpdate all;
+      for (int h = 0; h < kHosts; ++h) all.endpoints.push_back(MakeHost(h, EndpointState::kUp, 0));
       seats_.back()->Tell(all);
     }
   }
@@ -200,7 +201,8 @@
     while (!referee_.cancelled.empty()) {
       const auto [id, attempt] = referee_.cancelled.back();
       referee_.cancelled.pop_back();
-      if (RequestOf(id).attempts[static_cast<std::size_t>(attempt)].out) End(id, attempt, Result::kCancelled);
+      if (RequestOf(id).attempts[static_cast<std::size_t>(attempt)].out)
+        End(id, attempt, AttemptResult::kCancelled);
     }
     referee_.Check();
     return did;
@@ -209,7 +211,7 @@
   void Finish() {
     for (int i = 0; i < 2; ++i) {
       Pass(kPatience + kSlack);
-      for (auto [id, attempt] : Out(true)) End(id, attempt, Result::kServed);
+      for (auto [id, attempt] : Out(true)) End(id, attempt, AttemptResult::kServed);
     }
     referee_.Check();
     for (const auto& seat : seats_) {
@@ -236,29 +238,29 @@
 
   bool Apply(const std::string& event, int g) {
     Seat& seat = *seats_[static_cast<std::size_t>(g)];
-    if (event == "safe") return Arrive(g, "view", Effect::kSafe);
-    if (event == "keyed") return Arrive(g, "key", Effect::kKeyed);
-    if (event == "unsafe") return Arrive(g, "pay", Effect::kUnsafe);
-    if (event == "hasty") return Arrive(g, "view", Effect::kSafe, 45);
-    if (event == "tunnel") return Arrive(g, "pay", Effect::kUnsafe, kPatience, true);
+    if (event == "safe") return Arrive(g, "view", Idempotency::kIdempotent);
+    if (event == "keyed") return Arrive(g, "key", Idempotency::kIdempotencyKey);
+    if (event == "unsafe") return Arrive(g, "pay", Idempotency::kNonIdempotent);
+    if (event == "hasty") return Arrive(g, "view", Idempotency::kIdempotent, 45);
+    if (event == "tunnel") return Arrive(g, "pay", Idempotency::kNonIdempotent, kPatience, true);
     if (event == "burst") {
-      for (int i = 0; i < 24; ++i) Arrive(g, "view", Effect::kSafe);
+      for (int i = 0; i < 24; ++i) Arrive(g, "view", Idempotency::kIdempotent);
       return true;
     }
     if (event == "tick") return Pass(10);
     if (event == "wait") return Pass(60);
     if (event == "second") return Pass(1000);
-    if (event == "served") return EndOldest(Result::kServed);
-    if (event == "error") return EndOldest(Result::kError);
-    if (event == "reset") return EndOldest(Result::kReset);
-    if (event == "rejected") return EndOldest(Result::kRejected);
-    if (event == "undialled") return EndOldest(Result::kConnectFailed);
-    if (event == "unsent") return EndOldest(Result::kNotSent);
-    if (event == "overdue") return EndOldest(Result::kTimedOut);
+    if (event == "served") return EndOldest(AttemptResult::kServed);
+    if (event == "error") return EndOldest(AttemptResult::kError);
+    if (event == "reset") return EndOldest(AttemptResult::kReset);
+    if (event == "rejected") return EndOldest(AttemptResult::kRejected);
+    if (event == "undialled") return EndOldest(AttemptResult::kConnectFailed);
+    if (event == "unsent") return EndOldest(AttemptResult::kNotSent);
+    if (event == "overdue") return EndOldest(AttemptResult::kTimedOut);
     if (event == "newest") {
       const auto out = Out(false);
       if (out.size() < 2) return false;
-      return End(out.back().first, out.back().second, Result::kServed);
+      return End(out.back().first, out.back().second, AttemptResult::kServed);
     }
     if (event == "begins") {
       const auto out = Out(false);
@@ -267,7 +269,8 @@
     if (event == "ends" || event == "cut") {
       const auto out = Out(true);
       if (out.empty()) return false;
-      return End(out.front().first, out.front().second, event == "ends" ? Result::kServed : Result::kReset);
+      return End(out.front().first, out.front().second,
+                 event == "ends" ? AttemptResult::kServed : AttemptResult::kReset);
     }
     if (event == "again") {  // news of an attempt that has ended already
       if (last_.first < 0) return false;
@@ -283,15 +286,15 @@
       }
       return false;
     }
-    if (event == "drains") return Host(seat, g, ServerState::kDraining);
-    if (event == "leaves") return Host(seat, g, ServerState::kGone);
-    if (event == "cold") return Host(seat, g, ServerState::kUp);
+    if (event == "drains") return Host(seat, g, EndpointState::kDraining);
+    if (event == "leaves") return Host(seat, g, EndpointState::kRemoved);
+    if (event == "cold") return Host(seat, g, EndpointState::kUp);
     int& barred = referee_.barred[static_cast<std::size_t>(g)][0];
     if (event == "out" || event == "back") {
       const bool out = event == "out";
       if (((barred & 2) != 0) == out) return false;
       barred ^= 2;
-      out ? seat.Tell(ServerOut{"h0"}) : seat.Tell(ServerBack{"h0"});
+      out ? seat.Tell(MaintenanceStarted{"h0"}) : seat.Tell(MaintenanceEnded{"h0"});
       return true;
     }
     if (event == "retuned") {
@@ -301,32 +304,33 @@
       return true;
     }
     if (event == "unlisted") {
-      seat.Tell(ServerNews{ServerNews::Kind::kFailed, {}});
+      seat.Tell(EndpointUpdate{EndpointUpdate::Kind::kFailed, {}});
       return true;
     }
     referee_.Broken("no event is named " + event);
     return true;
   }
 
-  bool Arrive(int g, const char* cls, Effect effect, Millis patience = kPatience, bool holds = false) {
+  bool Arrive(int g, const char* cls, Idempotency effect, Millis patience = kPatience, bool holds = false) {
     const Seat::Call call{static_cast<int>(referee_.requests.size()), cls, effect, patience, holds};
     if (!seats_[static_cast<std::size_t>(g)]->Admits(call)) return false;
     Referee::Request r;
-    r.gateway = g, r.effect = effect, r.arrived = r.idle_since = referee_.now;
+    r.gateway = g, r.idempotency = effect, r.arrived = r.idle_since = referee_.now;
     r.until = referee_.now + patience;
     referee_.requests.push_back(r);
     seats_[static_cast<std::size_t>(g)]->Arrive(call);
     return true;
   }
 
-  bool EndOldest(Result result) {
+  bool EndOldest(AttemptResult result) {
     const auto out = Out(false);
     return !out.empty() && End(out.front().first, out.front().second, result);
   }
-  bool End(int id, int attempt, Result result) {
+  bool End(int id, int attempt, AttemptResult result) {
     auto& a = RequestOf(id).attempts[static_cast<std::size_t>(attempt)];
     a.out = false;
-    a.ran = result != Result::kRejected && result != Result::kConnectFailed && result != Result::kNotSent;
+    a.ran = result != AttemptResult::kRejected && result != AttemptResult::kConnectFailed &&
+            result != AttemptResult::kNotSent;
     RequestOf(id).idle_since = referee_.now;
     last_ = {id, attempt}, last_result_ = result;
     SeatOf(id).Outcome(id, attempt, result, RequestOf(id).over);
@@ -338,9 +342,9 @@
     return true;
   }
 
-  bool Host(Seat& seat, int g, ServerState state) {
+  bool Host(Seat& seat, int g, EndpointState state) {
     int& barred = referee_.barred[static_cast<std::size_t>(g)][0];
-    const bool up = state == ServerState::kUp;
+    const bool up = state == EndpointState::kUp;
     if (up) {
       // One process for all gateways: who hears of it later hears of the same start.
       if (!cold_told_) referee_.cold_since[0] = referee_.now;
@@ -350,7 +354,8 @@
       cold_told_ = false;
       barred |= 1;
     }
-    seat.Tell(ServerNews{ServerNews::Kind::kDelta, {MakeHost(0, state, up ? referee_.cold_since[0] : 0)}});
+    seat.Tell(
+        EndpointUpdate{EndpointUpdate::Kind::kDelta, {MakeHost(0, state, up ? referee_.cold_since[0] : 0)}});
     return true;
   }
 
@@ -368,7 +373,7 @@
       }
       for (auto [id, attempt] : Out(false)) {
         const auto& a = RequestOf(id).attempts[static_cast<std::size_t>(attempt)];
-        if (a.out && a.due <= referee_.now) End(id, attempt, Result::kTimedOut);
+        if (a.out && a.due <= referee_.now) End(id, attempt, AttemptResult::kTimedOut);
       }
       if (!broken().empty()) return true;
     }
@@ -379,7 +384,7 @@
   Referee referee_;
   std::vector<std::unique_ptr<Seat>> seats_;
   std::pair<int, int> last_{-1, 0};
-  Result last_result_ = Result::kServed;
+  AttemptResult last_result_ = AttemptResult::kServed;
   bool retuned_ = false, cold_told_ = false;
 };
 
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -30,59 +30,59 @@
       : gateway_(gateway), sink_(sink), now_(now), policy_(SettingsOf(gateway, gateways), 7) {}
 
   bool Admits(const Call& call) override {
-    return policy_.admits(now_, call.cls, call.effect) == Policy::Admission::kYes;
+    return policy_.CheckAdmission(now_, call.cls, call.idempotency) == Policy::Admission::kAccepted;
   }
   void Arrive(const Call& call) override {
     Request r;
     r.id = NameOf(call.request), r.class_name = call.cls, r.time_left = call.patience;
-    r.effect = call.effect, r.holds = call.holds;
+    r.idempotency = call.idempotency, r.is_tunnel = call.holds;
     Handle(r);
   }
-  void Outcome(int id, int attempt, Result result, bool over) override {
+  void Outcome(int id, int attempt, AttemptResult result, bool over) override {
     auto& sends = sends_[id];
     if (attempt >= static_cast<int>(sends.size())) return;  // a planted fault's
-    if (result == Result::kServed && !over) sink_.Ended(gateway_, id, End::kServed), over = true;
+    if (result == AttemptResult::kServed && !over) sink_.Ended(gateway_, id, End::kServed), over = true;
     const Millis sent = sends[static_cast<std::size_t>(attempt)].second;
-    Handle(meadowyard::Outcome{
+    Handle(meadowyard::AttemptOutcome{
         NameOf(id), attempt, sends[static_cast<std::size_t>(attempt)].first, result, over, now_ - sent, {}});
   }
   void Begins(int id, int attempt) override {
     if (attempt >= static_cast<int>(sends_[id].size())) return;  // a planted fault's
     sink_.Ended(gateway_, id, End::kServed);
-    Handle(StreamStarted{NameOf(id), attempt,
-                         std::max(1.0, now_ - sends_[id][static_cast<std::size_t>(attempt)].second)});
+    Handle(ResponseStarted{NameOf(id), attempt,
+                           std::max(1.0, now_ - sends_[id][static_cast<std::size_t>(attempt)].second)});
   }
-  void Gone(int id) override { Handle(ClientGone{NameOf(id)}); }
+  void Gone(int id) override { Handle(ClientDisconnected{NameOf(id)}); }
   void Tell(const Event& event) override { Handle(event); }
   Millis NextTimer() override { return timers_.empty() ? kForever : timers_.begin()->first; }
   void Fire() override {
     const std::string name = timers_.begin()->second;
     timers_.erase(timers_.begin());
-    Handle(TimerDue{name});
+    Handle(TimerExpired{name});
   }
   int Left() override {
-    const auto census = policy_.census();
-    return census.open + census.queued + census.in_flight + census.held;
+    const auto census = policy_.CollectStats();
+    return census.open_requests + census.queued + census.in_flight + census.tunnels;
   }
 
  private:
   static Settings SettingsOf(int gateway, int gateways) {
     Settings s = MakeSettings(gateways, false);
-    s.index = gateway;
+    s.gateway_index = gateway;
     return s;
   }
   void Handle(const Event& event) {
     std::vector<Action> actions;
-    policy_.handle(now_, event, actions);
+    policy_.Handle(now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* send = std::get_if<Send>(&action)) {
-        sends_[IdOf(send->request)].emplace_back(send->server, now_);
-        sink_.Sent(gateway_, IdOf(send->request), HostOf(send->server), send->timeout);
-      } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+      if (const auto* send = std::get_if<StartAttempt>(&action)) {
+        sends_[IdOf(send->request)].emplace_back(send->endpoint, now_);
+        sink_.Sent(gateway_, IdOf(send->request), HostOf(send->endpoint), send->timeout);
+      } else if (const auto* refuse = std::get_if<Reject>(&action)) {
         sink_.Ended(gateway_, IdOf(refuse->request), End::kRefused);
       } else if (const auto* fail = std::get_if<Fail>(&action)) {
         sink_.Ended(gateway_, IdOf(fail->request), End::kFailed);
-      } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
+      } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
         sink_.Cancelled(IdOf(cancel->request), cancel->attempt);
       } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
         timers_.emplace(now_ + timer->delay, timer->name);
@@ -106,14 +106,14 @@
         sink_(sink),
         clock_(now),
         upstream_(*this),
-        core_(clock_, MakeSettings(gateways, false), 7, upstream_, {[] {}, [](const std::string&) {}}) {}
+        core_(clock_, MakeSettings(gateways, false), 7, upstream_, {[] {}, [](const Log&) {}}) {}
 
   bool Admits(const Call& call) override {
-    return core_.Admits(call.cls, call.effect) == Policy::Admission::kYes;
+    return core_.Admits(call.cls, call.idempotency) == Policy::Admission::kAccepted;
   }
   void Arrive(const Call& call) override {
     ClientRequest r;
-    r.id = NameOf(call.request), r.class_name = call.cls, r.effect = call.effect;
+    r.id = NameOf(call.request), r.class_name = call.cls, r.effect = call.idempotency;
     r.received = clock_.now, r.allowed = call.patience, r.tunnel = call.holds;
     r.call.target = r.id;
     r.answer = [this, id = call.request](Answer answer) {
@@ -128,11 +128,11 @@
     };
     core_.Take(std::move(r));
   }
-  void Outcome(int id, int attempt, Result result, bool) override {
+  void Outcome(int id, int attempt, AttemptResult result, bool) override {
     if (const auto closed = Taken(closed_, id)) {
-      return closed(result == Result::kServed ? TunnelEnd::kEnded : TunnelEnd::kBroken);
+      return closed(result == AttemptResult::kServed ? TunnelEnd::kEnded : TunnelEnd::kBroken);
     }
-    if (const auto passed = Taken(passed_, id)) passed(result == Result::kServed);
+    if (const auto passed = Taken(passed_, id)) passed(result == AttemptResult::kServed);
     const auto found = errands_.find({id, attempt});
     if (found == errands_.end()) return;  // a core's upstream tells each end once
     const auto done = std::move(found->second.done);
@@ -158,9 +158,9 @@
   Millis NextTimer() override { return clock_.Next(); }
   void Fire() override { clock_.Fire(); }
   int Left() override {
-    const auto census = core_.policy().census();
+    const auto census = core_.policy().CollectStats();
     const std::string figures = core_.figures().ToJson(census);
-    return !core_.empty() + census.open + census.queued + census.in_flight + census.held +
+    return !core_.empty() + census.open_requests + census.queued + census.in_flight + census.tunnels +
            (figures.find("\"current\":0,") == std::string::npos) + static_cast<int>(errands_.size());
   }
 
@@ -267,8 +267,8 @@
     calls_[call.request] = {call, now_};
     seat_->Arrive(call);
   }
-  void Outcome(int id, int attempt, Result result, bool over) override {
-    if (fault_ == Fault::kLeaks && result == Result::kCancelled) return;
+  void Outcome(int id, int attempt, AttemptResult result, bool over) override {
+    if (fault_ == Fault::kLeaks && result == AttemptResult::kCancelled) return;
     seat_->Outcome(id, attempt, result, over);
   }
   void Begins(int id, int attempt) override { seat_->Begins(id, attempt); }
@@ -277,9 +277,9 @@
     if (fault_ == Fault::kHaunts) sink_.Sent(gateway_, id, 1, 50);
   }
   void Tell(const Event& event) override {
-    const auto* news = std::get_if<ServerNews>(&event);
-    if (fault_ == Fault::kDeaf && news != nullptr && news->servers.size() == 1) return;
-    if (news != nullptr && news->servers.size() == 1) cold_ = news->servers[0].started_at > 0;
+    const auto* news = std::get_if<EndpointUpdate>(&event);
+    if (fault_ == Fault::kDeaf && news != nullptr && news->endpoints.size() == 1) return;
+    if (news != nullptr && news->endpoints.size() == 1) cold_ = news->endpoints[0].started_at > 0;
     seat_->Tell(event);
   }
   Millis NextTimer() override { return fault_ == Fault::kSleeps ? kForever : seat_->NextTimer(); }
@@ -299,7 +299,8 @@
   void Sent(int gateway, int id, int host, Millis timeout) override {
     const int before = sent_[id]++;
     const auto& call = calls_[id].first;
-    if (fault_ == Fault::kStrays && call.effect == Effect::kKeyed && before > 0) host = host == 2 ? 1 : 2;
+    if (fault_ == Fault::kStrays && call.idempotency == Idempotency::kIdempotencyKey && before > 0)
+      host = host == 2 ? 1 : 2;
     if (fault_ == Fault::kHot && cold_) host = 0;
     sink_.Sent(gateway, id, host, timeout);
     if (fault_ == Fault::kDoubles) sink_.Sent(gateway, id, 1, timeout);
@@ -308,7 +309,7 @@
     const auto& [call, arrived] = calls_[id];
     const bool given_up = end != End::kServed;
     if (fault_ == Fault::kSwallows && given_up) return;
-    if (fault_ == Fault::kRepeats && end == End::kFailed && call.effect == Effect::kUnsafe)
+    if (fault_ == Fault::kRepeats && end == End::kFailed && call.idempotency == Idempotency::kNonIdempotent)
       return sink_.Sent(gateway, id, 1, 50);
     if (fault_ == Fault::kGoesOn && given_up && sent_[id] == kAttempts) return sink_.Sent(gateway, id, 1, 50);
     if (fault_ == Fault::kLies && end == End::kFailed) end = End::kRefused;
--- a/tests/race_test.cpp
+++ b/tests/race_test.cpp
@@ -34,7 +34,7 @@
 meadowyard::ClientServer::Handlers Handlers(std::function<void(meadowyard::ClientRequest)> taken) {
   return {[] { return true; },
           [] { return true; },
-          [](const std::string&, Effect) { return Policy::Admission::kYes; },
+          [](const std::string&, Idempotency) { return Policy::Admission::kAccepted; },
           std::move(taken),
           [](const std::string&) {},
           [](const std::string&) {}};
@@ -197,7 +197,7 @@
     meadowyard::HostPool pool(io, {5000, 60000, 10, rested ? 0.0 : 60000.0},
                               {[](const std::string&) { return true; }});
     meadowyard::HostList list;
-    list.hosts.push_back({Server(), host.address()});
+    list.hosts.push_back({Endpoint(), host.address()});
     list.hosts[0].server.id = "h0";
     pool.Update(list);
     std::string last;
@@ -206,7 +206,7 @@
       Errand errand;
       errand.call = std::make_shared<const Call>(Call{"GET", "/api", {}, ""});
       errand.deadline = Now() + 20000;
-      errand.done = [&](Result, Reply reply) { ++ended, last = reply.body; };
+      errand.done = [&](AttemptResult, Reply reply) { ++ended, last = reply.body; };
       pool.Start("h0", std::move(errand));
     };
     start();
@@ -262,28 +262,28 @@
   Peer host(io);
   meadowyard::HostPool pool(io, {}, {[](const std::string&) { return true; }});
   meadowyard::HostList list;
-  list.hosts.push_back({Server(), host.address()});
+  list.hosts.push_back({Endpoint(), host.address()});
   list.hosts[0].server.id = "h0";
   pool.Update(list);
-  std::vector<Result> results;
+  std::vector<AttemptResult> results;
   std::vector<std::uint64_t> numbers;
   const auto start = [&] {
     Errand errand;
     errand.call = std::make_shared<const Call>(Call{"GET", "/api", {}, ""});
     errand.deadline = Now() + 20000;
-    errand.done = [&](Result result, Reply) { results.push_back(result); };
+    errand.done = [&](AttemptResult result, Reply) { results.push_back(result); };
     numbers.push_back(pool.Start("h0", std::move(errand)));
   };
   start();
   pool.Withdraw(numbers[0]);
-  EXPECT_EQ(results, std::vector{Result::kNotSent});
+  EXPECT_EQ(results, std::vector{AttemptResult::kNotSent});
   start();
   ASSERT_TRUE(RunUntil(io, [&] { return host.requests.size() == 1; }));
   pool.Withdraw(numbers[1]);  // it is with its host: left alone
   EXPECT_EQ(pool.connections(), 1u);
   host.requests[0].Answer(200, "");
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 2; }));
-  EXPECT_EQ(results[1], Result::kServed);
+  EXPECT_EQ(results[1], AttemptResult::kServed);
 }
 
 }  // namespace
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -18,7 +18,7 @@
 };
 
 struct Ask {
-  const ClassSettings* cls = nullptr;
+  const TrafficClassSettings* cls = nullptr;
   Millis until = 0;
   std::vector<Try> tries;
   bool answered = false;
@@ -27,43 +27,43 @@
 struct Checker {
   const Settings& settings;
   std::map<std::string, Ask> asks;
-  std::map<std::string, Server> servers;  // as last told
+  std::map<std::string, Endpoint> servers;  // as last told
   std::map<std::string, bool> up;
 
   void Apply(Millis now, const std::vector<Action>& actions) {
     for (const Action& action : actions) {
-      if (const auto* a = std::get_if<Send>(&action)) OnSend(now, *a);
-      if (const auto* a = std::get_if<Refuse>(&action)) OnFinal(now, a->request, true);
+      if (const auto* a = std::get_if<StartAttempt>(&action)) OnSend(now, *a);
+      if (const auto* a = std::get_if<Reject>(&action)) OnFinal(now, a->request, true);
       if (const auto* a = std::get_if<Fail>(&action)) OnFinal(now, a->request, false);
     }
   }
 
-  void OnSend(Millis now, const Send& send) {
+  void OnSend(Millis now, const StartAttempt& send) {
     Ask& ask = asks.at(send.request);
     ASSERT_FALSE(ask.answered) << "sent after its end: " << send.request;
-    ASSERT_TRUE(up[send.server]) << "sent to a server told to be leaving";
+    ASSERT_TRUE(up[send.endpoint]) << "sent to a server told to be leaving";
     ASSERT_LT(static_cast<int>(ask.tries.size()), settings.max_attempts);
     for (const Try& t : ask.tries) {
       ASSERT_TRUE(!t.out) << "two attempts at once";
-      if (ask.cls->effect == Effect::kUnsafe) {
+      if (ask.cls->idempotency == Idempotency::kNonIdempotent) {
         ASSERT_TRUE(!t.out && t.unrun) << "unsafe request sent twice";
       }
     }
-    if (ask.cls->effect == Effect::kKeyed) {
+    if (ask.cls->idempotency == Idempotency::kIdempotencyKey) {
       for (const Try& t : ask.tries) {
         if (t.unrun) continue;
-        ASSERT_EQ(servers.at(t.server).cell, servers.at(send.server).cell) << "left its group";
-        ASSERT_LT(now - t.sent, ask.cls->repeat_window) << "repeat after the window";
+        ASSERT_EQ(servers.at(t.server).cell, servers.at(send.endpoint).cell) << "left its group";
+        ASSERT_LT(now - t.sent, ask.cls->dedup_window) << "repeat after the window";
       }
     }
-    ask.tries.push_back({send.server, now, std::min(now + send.timeout, ask.until), true, false});
+    ask.tries.push_back({send.endpoint, now, std::min(now + send.timeout, ask.until), true, false});
   }
 
   void OnFinal(Millis now, const std::string& id, bool refusal) {
     Ask& ask = asks.at(id);
     ASSERT_FALSE(ask.answered) << "answered twice: " << id;
     ASSERT_LE(now, ask.until + 20) << "answered too late: " << id;
-    if (refusal && ask.cls->effect != Effect::kSafe) {
+    if (refusal && ask.cls->idempotency != Idempotency::kIdempotent) {
       for (const Try& t : ask.tries) ASSERT_TRUE(!t.out && t.unrun) << "refused though it may have run";
     }
     ask.answered = true;
@@ -74,21 +74,21 @@
   std::mt19937_64 random(seed);
   const auto chance = [&](double p) { return std::uniform_real_distribution<>(0, 1)(random) < p; };
   Settings settings = MakeSettings();
-  settings.ask_for_list = ask_mode;
-  settings.gateways = 1 + static_cast<int>(random() % 4);
+  settings.polls_endpoints = ask_mode;
+  settings.gateway_count = 1 + static_cast<int>(random() % 4);
   Gateway g(settings, seed);
   Checker check{settings, {}, {}, {}};
 
-  std::map<std::string, Server> fleet;
+  std::map<std::string, Endpoint> fleet;
   for (int i = 0; i < 6; ++i) {
-    Server s = MakeServer("s" + std::to_string(i), std::to_string(i % 2));
+    Endpoint s = MakeServer("s" + std::to_string(i), std::to_string(i % 2));
     fleet[s.id] = s;
   }
   const auto feed = [&](const Event& e) { check.Apply(g.now, g.Do(e)); };
-  const auto tell = [&](const Server& s) {
+  const auto tell = [&](const Endpoint& s) {
     fleet[s.id] = check.servers[s.id] = s;
-    check.up[s.id] = s.state == ServerState::kUp;
-    feed(ServerNews{ServerNews::Kind::kDelta, {s}});
+    check.up[s.id] = s.state == EndpointState::kUp;
+    feed(EndpointUpdate{EndpointUpdate::Kind::kDelta, {s}});
   };
   for (const auto& [id, s] : std::map(fleet)) tell(s);
 
@@ -97,7 +97,7 @@
   for (int step = 0; step < 6000 && !::testing::Test::HasFatalFailure(); ++step) {
     g.now += 5;
     if (step % 500 == 0) trouble = chance(0.5) ? 0.5 : 0.05;
-    if (step % 2 == 0) feed(TimerDue{"sweep"});
+    if (step % 2 == 0) feed(TimerExpired{"sweep"});
     while (step < 5500 && chance(0.4)) {
       Request r;
       r.id = "q" + std::to_string(next++);
@@ -108,39 +108,44 @@
       feed(r);
     }
     if (chance(0.01)) {  // a server drains, leaves, or comes back as a new process
-      Server s = std::next(fleet.begin(), static_cast<long>(random() % fleet.size()))->second;
+      Endpoint s = std::next(fleet.begin(), static_cast<long>(random() % fleet.size()))->second;
       const auto pick = random() % 4;
-      s.state = pick == 0 ? ServerState::kDraining : pick == 1 ? ServerState::kGone : ServerState::kUp;
+      s.state = pick == 0   ? EndpointState::kDraining
+                : pick == 1 ? EndpointState::kRemoved
+                            : EndpointState::kUp;
       if (pick == 2) s.started_at = g.now;
       tell(s);
     }
-    if (chance(0.002)) feed(ServerNews{ServerNews::Kind::kFailed, {}});
+    if (chance(0.002)) feed(EndpointUpdate{EndpointUpdate::Kind::kFailed, {}});
     std::vector<Event> events;
     for (auto& [id, ask] : check.asks) {
       for (std::size_t i = 0; i < ask.tries.size(); ++i) {
         Try& t = ask.tries[i];
         if (!t.out) continue;
-        Outcome o{id, static_cast<int>(i), t.server, Result::kServed, ask.answered, g.now - t.sent, {}};
+        AttemptOutcome o{id,           static_cast<int>(i), t.server, AttemptResult::kServed,
+                         ask.answered, g.now - t.sent,      {}};
         if (g.now >= t.ends) {
-          o.result = Result::kTimedOut;
+          o.result = AttemptResult::kTimedOut;
         } else if (!chance(0.08)) {
           continue;
         } else if (chance(trouble)) {
-          constexpr Result kBad[] = {Result::kError, Result::kRejected, Result::kConnectFailed,
-                                     Result::kReset, Result::kNotSent,  Result::kCancelled};
+          constexpr AttemptResult kBad[] = {AttemptResult::kError,         AttemptResult::kRejected,
+                                            AttemptResult::kConnectFailed, AttemptResult::kReset,
+                                            AttemptResult::kNotSent,       AttemptResult::kCancelled};
           o.result = kBad[random() % 6];
         }
         t.out = false;
-        t.unrun = o.result == Result::kRejected || o.result == Result::kConnectFailed ||
-                  o.result == Result::kNotSent;
-        if (o.result == Result::kServed) ask.answered = o.finished = true;
+        t.unrun = o.result == AttemptResult::kRejected || o.result == AttemptResult::kConnectFailed ||
+                  o.result == AttemptResult::kNotSent;
+        if (o.result == AttemptResult::kServed) ask.answered = o.request_finished = true;
         events.push_back(o);
         if (ask.answered) break;
       }
-      if (!ask.answered && chance(0.0005)) events.push_back(ClientGone{id});
+      if (!ask.answered && chance(0.0005)) events.push_back(ClientDisconnected{id});
     }
     for (const Event& e : events) {
-      if (const auto* gone = std::get_if<ClientGone>(&e)) check.asks.at(gone->request).answered = true;
+      if (const auto* gone = std::get_if<ClientDisconnected>(&e))
+        check.asks.at(gone->request).answered = true;
       feed(e);
     }
     std::erase_if(check.asks, [&](const auto& entry) {
--- a/tests/tunnel_parts_test.cpp
+++ b/tests/tunnel_parts_test.cpp
@@ -348,28 +348,28 @@
   struct Case {
     bool socks, user;
     std::string said;
-    std::optional<Result> result;
+    std::optional<AttemptResult> result;
     std::string rest;
   };
   const std::vector<Case> cases = {
-      {true, false, ok + "\x05\0"s + reply + "hello", Result::kServed, "hello"},
-      {true, false, ok + "\x05\0\0\x03\x04host\0\x50"s + "x", Result::kServed, "x"},
-      {true, true, "\x05\x02\x01\0\x05\0"s + reply, Result::kServed, ""},
-      {true, true, "\x05\x02\x01\x01"s, Result::kRejected, "*"},
-      {true, true, "\x05\xff", Result::kRejected, "*"},
-      {true, false, ok + "\x05\x01"s + reply, Result::kRejected, "*"},
-      {true, false, ok + "\x05\x02"s + reply, Result::kRejected, "*"},
-      {true, false, ok + "\x05\x04"s + reply, Result::kConnectFailed, "*"},
-      {true, false, ok + "\x05\x05"s + reply, Result::kConnectFailed, "*"},
-      {true, false, "HTTP/1.1 400 Bad", Result::kConnectFailed, "*"},
+      {true, false, ok + "\x05\0"s + reply + "hello", AttemptResult::kServed, "hello"},
+      {true, false, ok + "\x05\0\0\x03\x04host\0\x50"s + "x", AttemptResult::kServed, "x"},
+      {true, true, "\x05\x02\x01\0\x05\0"s + reply, AttemptResult::kServed, ""},
+      {true, true, "\x05\x02\x01\x01"s, AttemptResult::kRejected, "*"},
+      {true, true, "\x05\xff", AttemptResult::kRejected, "*"},
+      {true, false, ok + "\x05\x01"s + reply, AttemptResult::kRejected, "*"},
+      {true, false, ok + "\x05\x02"s + reply, AttemptResult::kRejected, "*"},
+      {true, false, ok + "\x05\x04"s + reply, AttemptResult::kConnectFailed, "*"},
+      {true, false, ok + "\x05\x05"s + reply, AttemptResult::kConnectFailed, "*"},
+      {true, false, "HTTP/1.1 400 Bad", AttemptResult::kConnectFailed, "*"},
       {true, false, ok + "\x05\0"s, std::nullopt, "*"},
-      {false, false, "HTTP/1.1 200 OK\r\nX: y\r\n\r\nhello", Result::kServed, "hello"},
-      {false, true, "HTTP/1.0 200 OK\r\n\r\n", Result::kServed, ""},
-      {false, false, "HTTP/1.1 407 No\r\n\r\n", Result::kRejected, "*"},
-      {false, false, "HTTP/1.1 503 No\r\n\r\n", Result::kRejected, "*"},
-      {false, false, "HTTP/1.1 502 No\r\n\r\n", Result::kConnectFailed, "*"},
-      {false, false, "SSH-2.0-x\r\n", Result::kConnectFailed, "*"},
-      {false, false, "HTTP/1.1 200 OK\r\n" + std::string(9000, 'x'), Result::kConnectFailed, "*"},
+      {false, false, "HTTP/1.1 200 OK\r\nX: y\r\n\r\nhello", AttemptResult::kServed, "hello"},
+      {false, true, "HTTP/1.0 200 OK\r\n\r\n", AttemptResult::kServed, ""},
+      {false, false, "HTTP/1.1 407 No\r\n\r\n", AttemptResult::kRejected, "*"},
+      {false, false, "HTTP/1.1 503 No\r\n\r\n", AttemptResult::kRejected, "*"},
+      {false, false, "HTTP/1.1 502 No\r\n\r\n", AttemptResult::kConnectFailed, "*"},
+      {false, false, "SSH-2.0-x\r\n", AttemptResult::kConnectFailed, "*"},
+      {false, false, "HTTP/1.1 200 OK\r\n" + std::string(9000, 'x'), AttemptResult::kConnectFailed, "*"},
       {false, false, "HTTP/1.1 200 OK\r\n", std::nullopt, "*"}};
   for (const Case& c : cases) {
     for (std::size_t cut = 1; cut <= std::min<std::size_t>(c.said.size(), 60); ++cut) {
@@ -377,7 +377,7 @@
       ParentHandshake handshake(access, {boost::asio::ip::make_address("127.0.0.1"), 80});
       EXPECT_FALSE(handshake.TakeOutput().empty());
       std::string in;
-      std::optional<Result> result;
+      std::optional<AttemptResult> result;
       for (std::size_t at = 0; at < c.said.size() && !result; at += cut) {
         in += c.said.substr(at, cut);
         for (std::size_t before = 0; before != in.size() && !result;) {
@@ -428,15 +428,15 @@
   r.id = id;
   r.class_name = "pay";
   r.time_left = 2000;
-  r.only = only;
-  r.holds = true;
+  r.pinned_endpoint = only;
+  r.is_tunnel = true;
   return r;
 }
 
 // Guards the count of open tunnels: they weigh in the pick, are limited for each server, and leave no trace.
 TEST(Policy, CountsTheTunnelsThatHoldAServer) {
   Settings settings = MakeSettings();
-  settings.most_held = 3;
+  settings.max_tunnels_per_endpoint = 3;
   Gateway g(settings);
   g.Servers(2);
   std::map<std::string, int> open;
@@ -445,7 +445,7 @@
     const std::string id = "t" + std::to_string(i);
     const std::string server = g.SentTo(g.Do(TunnelRequest(id)));
     ASSERT_NE(server, "") << i;
-    g.Do(StreamStarted{id, 0, 5});
+    g.Do(ResponseStarted{id, 0, 5});
     ++open[server];
     held.emplace_back(id, server);
   }
@@ -453,22 +453,22 @@
   EXPECT_EQ(open["s1"], 3);
   EXPECT_EQ(g.SentTo(g.Do(TunnelRequest("full"))), "");
   EXPECT_EQ(g.SentTo(g.Ask("plain")).empty(), false);  // a request that holds nothing goes on
-  g.Do(ClientGone{"full"});
-  for (const auto& [id, server] : held) g.End(id, server, Result::kServed, 60000);
+  g.Do(ClientDisconnected{"full"});
+  for (const auto& [id, server] : held) g.End(id, server, AttemptResult::kServed, 60000);
   for (int i = 0; i < 3; ++i) EXPECT_NE(g.SentTo(g.Do(TunnelRequest("again" + std::to_string(i)))), "");
 }
 
 TEST(Policy, CountsTunnelsOfTheProcessBefore) {
   Settings settings = MakeSettings();
-  settings.most_held = 2;
+  settings.max_tunnels_per_endpoint = 2;
   Gateway g(settings);
   g.Servers(1);
-  g.Do(Held{"s0", 2});
+  g.Do(TunnelCountChanged{"s0", 2});
   EXPECT_EQ(g.SentTo(g.Do(TunnelRequest("a"))), "");
-  g.Do(ClientGone{"a"});
-  g.Do(Held{"s0", -1});
+  g.Do(ClientDisconnected{"a"});
+  g.Do(TunnelCountChanged{"s0", -1});
   EXPECT_EQ(g.SentTo(g.Do(TunnelRequest("b"))), "s0");
-  g.Do(Held{"nobody", -5});
+  g.Do(TunnelCountChanged{"nobody", -5});
 }
 
 // Guards one named server: nothing else is picked, it is tried again there, and whoever waits for it holds
@@ -479,16 +479,16 @@
   for (int i = 0; i < 8; ++i) {
     const std::string id = "o" + std::to_string(i);
     EXPECT_EQ(g.SentTo(g.Do(TunnelRequest(id, "s2"))), "s2");
-    g.Do(StreamStarted{id, 0, 5});
+    g.Do(ResponseStarted{id, 0, 5});
   }
   EXPECT_EQ(g.SentTo(g.Do(TunnelRequest("r", "s1"))), "s1");
-  EXPECT_EQ(g.SentTo(g.End("r", "s1", Result::kConnectFailed, 5)), "s1");
-  g.Do(ServerOut{"s3"});
+  EXPECT_EQ(g.SentTo(g.End("r", "s1", AttemptResult::kConnectFailed, 5)), "s1");
+  g.Do(MaintenanceStarted{"s3"});
   EXPECT_EQ(g.SentTo(g.Do(TunnelRequest("waits", "s3"))), "");
   EXPECT_NE(g.SentTo(g.Do(TunnelRequest("passes"))), "");
   EXPECT_EQ(g.SentTo(g.Do(TunnelRequest("unknown", "s9"))), "");
   const auto actions = g.Pass(2000);
-  EXPECT_EQ(g.Count<Refuse>(actions), 2);
+  EXPECT_EQ(g.Count<Reject>(actions), 2);
 }
 
 // Guards that a tunnel's life says nothing of its server, but breaking at its beginning does.
@@ -502,10 +502,11 @@
       const std::string server = g.SentTo(g.Do(TunnelRequest(id)));
       if (server.empty()) continue;
       g.now += 5;
-      g.Do(StreamStarted{id, 0, 5});
+      g.Do(ResponseStarted{id, 0, 5});
       g.now += 50;
-      g.End(id, server, breaks && server == "s0" ? Result::kReset : Result::kServed, breaks ? 50 : 3600000);
-      avoided = g.policy.census().avoided > 0;
+      g.End(id, server, breaks && server == "s0" ? AttemptResult::kReset : AttemptResult::kServed,
+            breaks ? 50 : 3600000);
+      avoided = g.policy.CollectStats().unavailable > 0;
     }
     EXPECT_EQ(avoided, breaks);
   }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -99,12 +99,12 @@
                      "report.fields=inflight,util", "who.knows=this"});
   ASSERT_EQ(s.classes.size(), 2u);
   EXPECT_EQ(s.classes[0].name, "a");
-  EXPECT_EQ(s.classes[0].effect, Effect::kKeyed);
-  EXPECT_EQ(s.classes[0].group, Group::kCell);
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::kIdempotencyKey);
+  EXPECT_EQ(s.classes[0].dedup_scope, DedupScope::kCell);
   EXPECT_EQ(s.tenants.at(0).quota_per_s, 12.5);
   EXPECT_EQ(s.max_retry_after, 600);
-  EXPECT_TRUE(s.retry_after && s.warm_keys);
-  EXPECT_EQ(s.report_fields, (std::vector<std::string>{"inflight", "util"}));
+  EXPECT_TRUE(s.sends_retry_after && s.key_affinity);
+  EXPECT_EQ(s.load_report_fields, (std::vector<std::string>{"inflight", "util"}));
 }
 
 TEST(Wire, KillWithAttemptsOutLeavesNothingBehind) {
--- a/tests/zone_test.cpp
+++ b/tests/zone_test.cpp
@@ -17,15 +17,15 @@
 namespace meadowyard::testing {
 namespace {
 
-using Zone = ZonesAgreed::Zone;
+using Zone = ZoneAgreement::Zone;
 
 Settings Near(const std::string& zone) {
   Settings s;
-  ClassSettings c;
-  c.name = "view", c.aim = 1000, c.deadline = 2000, c.effect = Effect::kSafe;
+  TrafficClassSettings c;
+  c.name = "view", c.latency_objective = 1000, c.deadline = 2000, c.idempotency = Idempotency::kIdempotent;
   s.classes = {c};
   s.zone = zone;
-  s.locality.on = true;
+  s.zone_routing.enabled = true;
   return s;
 }
 
@@ -42,13 +42,13 @@
 TEST_P(Parts, GoNearFirstAndNoFurtherThanThereIsRoom) {
   const Spread& c = GetParam();
   Settings s = Near("a");
-  s.locality.regions = {{"a", 0}, {"b", 0}, {"c", 1}};
+  s.zone_routing.regions = {{"a", 0}, {"b", 0}, {"c", 1}};
   Policy policy(s, 1);
   std::vector<Action> actions;
-  policy.handle(0, ZonesAgreed{5, 1, c.zones}, actions);
+  policy.Handle(0, ZoneAgreement{5, 1, c.zones}, actions);
   std::map<std::string, double> parts;
   double all = 0;
-  for (const auto& [zone, part] : policy.parts()) parts[zone] += part, all += part;
+  for (const auto& [zone, part] : policy.ZoneWeights()) parts[zone] += part, all += part;
   for (const auto& [zone, part] : c.parts) EXPECT_NEAR(parts[zone], part, 0.01) << zone;
   EXPECT_NEAR(1 - all, c.parts.empty() ? 1 : c.refused, 0.01);
   // What is refused is refused at once, and says so.
@@ -57,10 +57,10 @@
   for (int i = 0; i < 1000; ++i) {
     Request r;
     r.id = std::to_string(i), r.class_name = "view", r.time_left = 2000;
-    policy.handle(1, r, actions);
-    policy.handle(1, ClientGone{r.id}, actions);  // or the queue would be full
+    policy.Handle(1, r, actions);
+    policy.Handle(1, ClientDisconnected{r.id}, actions);  // or the queue would be full
   }
-  for (const Action& a : actions) refused += std::holds_alternative<Refuse>(a);
+  for (const Action& a : actions) refused += std::holds_alternative<Reject>(a);
   EXPECT_NEAR(refused / 1000.0, c.refused, 0.06);
 }
 
@@ -99,22 +99,22 @@
 // A gateway that no quorum has told of anything does not leave its zone, however dead that is.
 TEST(Locality, IsNoFailoverOfOnesOwn) {
   Policy policy(Near("a"), 1);
-  ServerNews news;
+  EndpointUpdate news;
   for (const char* const id : {"a1", "a2", "b1", "b2"}) {
-    Server server;
+    Endpoint server;
     server.id = id, server.zone = std::string(id, 1);
-    news.servers.push_back(server);
+    news.endpoints.push_back(server);
   }
   std::map<std::string, int> sent;  // by zone; each is answered at once
   std::function<void(Millis, const Event&)> tell = [&](Millis now, const Event& event) {
     std::vector<Action> out;
-    policy.handle(now, event, out);
+    policy.Handle(now, event, out);
     for (const Action& a : out) {
-      const auto* const send = std::get_if<Send>(&a);
+      const auto* const send = std::get_if<StartAttempt>(&a);
       if (send == nullptr) continue;
-      ++sent[send->server.substr(0, 1)];
-      Outcome o;
-      o.request = send->request, o.server = send->server, o.latency = 5;
+      ++sent[send->endpoint.substr(0, 1)];
+      AttemptOutcome o;
+      o.request = send->request, o.endpoint = send->endpoint, o.latency = 5;
       tell(now, o);
     }
   };
@@ -125,22 +125,22 @@
       Request r;
       r.id = std::to_string(++number), r.class_name = "view", r.time_left = 2000;
       tell(now, r);
-      tell(now, TimerDue{"sweep"});
+      tell(now, TimerExpired{"sweep"});
     }
     return sent;
   };
   tell(0, news);
-  tell(0, ZonesAgreed{9, 2, {{"a", 1, 2, 10}, {"b", 1, 2, 10}}});
+  tell(0, ZoneAgreement{9, 2, {{"a", 1, 2, 10}, {"b", 1, 2, 10}}});
   EXPECT_GT(during(0, 1000)["a"], 90);
   EXPECT_EQ(sent.count("b"), 0u);
-  for (Server& server : news.servers) {
-    if (server.zone == "a") server.state = ServerState::kGone;
+  for (Endpoint& server : news.endpoints) {
+    if (server.zone == "a") server.state = EndpointState::kRemoved;
   }
   tell(1000, news);
   EXPECT_TRUE(during(1000, 3000).empty()) << "nobody has agreed on that";
-  tell(3000, ZonesAgreed{9, 1, {{"a", 0, 2, 10}, {"b", 1, 2, 10}}});
+  tell(3000, ZoneAgreement{9, 1, {{"a", 0, 2, 10}, {"b", 1, 2, 10}}});
   EXPECT_TRUE(during(3000, 4000).empty()) << "older than what is in force";
-  tell(4000, ZonesAgreed{9, 3, {{"a", 0, 2, 10}, {"b", 1, 2, 10}}});
+  tell(4000, ZoneAgreement{9, 3, {{"a", 0, 2, 10}, {"b", 1, 2, 10}}});
   EXPECT_GT(during(4000, 5000)["b"], 90);
 }
 
@@ -153,7 +153,7 @@
   void Pass(Millis ms, const std::function<std::pair<double, double>(double level)>& of_a) {
     for (const Millis until = now + ms; now < until; now += 100) {
       for (int g = 0; g < 3; ++g) {
-        Sights sights{std::string(1, static_cast<char>('a' + g)), 100, {}};
+        ZoneLoadReport sights{std::string(1, static_cast<char>('a' + g)), 100, {}};
         for (const char* const zone : {"a", "b", "c"}) {
           const auto [fit, good] =
               zone == sights.zone && zone[0] == 'a' ? of_a(Level("a")) : std::pair(1.0, 1.0);
@@ -285,7 +285,7 @@
     duties[At(g)] = std::make_unique<ZoneDuty>(
         g, n, times, Clock(g), 1000 + static_cast<Token>(now),
         ZoneDuty::Handlers{[this, g](int to, const DutyWord& word) { Post(g, to, word); },
-                           [this, g](const ZonesAgreed& state) { Adopted(g, state); }});
+                           [this, g](const ZoneAgreement& state) { Adopted(g, state); }});
   }
   void Post(int from, int to, const DutyWord& word) {
     ++words;
@@ -297,12 +297,12 @@
     if (Chance() < loss) return;
     under_way.push_back({now + 1 + delay * Chance(), from, to, word});
   }
-  void Adopted(int g, const ZonesAgreed& state) {
+  void Adopted(int g, const ZoneAgreement& state) {
     const auto id = std::pair(state.term, state.version);
     if (2 * static_cast<int>(votes[id].size()) <= n) ++unagreed;
     const auto [same, added] = contents.emplace(id, state);
     if (!added && !(same->second == state)) ++unlike;
-    if (!state.After(known[At(g)])) ++backwards;
+    if (!state.IsNewerThan(known[At(g)])) ++backwards;
     known[At(g)] = state;
   }
   void Pass(Millis ms) {
@@ -315,7 +315,7 @@
       }
       for (int g = 0; g < n; ++g) {
         if (gone_until[At(g)] > now || static_cast<int>(now / 10) % 10 != g % 10) continue;
-        const Sights own = See(g);
+        const ZoneLoadReport own = See(g);
         duties[At(g)]->Beat(Clock(g), Chance(), own);
         for (int to = 0; to < n; ++to) {
           if (to != g && !cut(g, to) && Chance() >= loss && gone_until[At(to)] <= now)
@@ -328,8 +328,8 @@
       two += holders > 1;
     }
   }
-  Sights See(int g) const {
-    Sights sights{Home(g), 100, {}};
+  ZoneLoadReport See(int g) const {
+    ZoneLoadReport sights{Home(g), 100, {}};
     for (const char* const zone : {"a", "b", "c"}) {
       const double fit = health.contains(zone) ? health.at(zone) : 1;
       const double ended = zone == sights.zone ? 50 : 0;
@@ -351,7 +351,7 @@
     return -1;
   }
   bool Alike() const {
-    return std::all_of(known.begin(), known.end(), [&](const ZonesAgreed& k) { return k == known[0]; });
+    return std::all_of(known.begin(), known.end(), [&](const ZoneAgreement& k) { return k == known[0]; });
   }
   void ExpectRules() const {
     EXPECT_EQ(unagreed, 0) << "gone by what no more than half had voted for";
@@ -374,10 +374,10 @@
   std::vector<double> skew, ahead;
   std::vector<Millis> gone_until;
   std::vector<std::unique_ptr<ZoneDuty>> duties;
-  std::vector<ZonesAgreed> known;
+  std::vector<ZoneAgreement> known;
   std::vector<Letter> under_way;
   std::map<std::pair<Token, std::uint64_t>, std::set<int>> votes;
-  std::map<std::pair<Token, std::uint64_t>, ZonesAgreed> contents;
+  std::map<std::pair<Token, std::uint64_t>, ZoneAgreement> contents;
   int unagreed = 0, unlike = 0, backwards = 0, two = 0;
   std::uint64_t words = 0;
 };
