--- a/examples/consumer/main.cpp
+++ b/examples/consumer/main.cpp
@@ -1,41 +1,64 @@
 // One request from its arrival to its answer, through the public header alone.
 #include <iostream>
 #include <meadowyard/policy.hpp>
+#include <string>
+#include <vector>
 
-int main() {
-  using namespace meadowyard;
-  Settings settings;
-  ClassSettings page;
+namespace {
+
+constexpr meadowyard::Millis kArrival = 5;
+constexpr meadowyard::Millis kResponse = 36;
+
+meadowyard::Settings MakeSettings() {
+  meadowyard::TrafficClassSettings page;
   page.name = "page";
-  page.aim = 500;        // ms
-  page.deadline = 2000;  // ms
-  page.effect = Effect::kSafe;
+  page.latency_objective = 500;
+  page.deadline = 2000;
+  page.idempotency = meadowyard::Idempotency::kIdempotent;
+  meadowyard::Settings settings;
   settings.classes.push_back(page);
+  return settings;
+}
 
-  Policy policy(settings, /*seed=*/42);
-  std::vector<Action> actions;
+/// Reports the only endpoint there is, which has to come before the first request.
+void ReportEndpoints(meadowyard::Policy& policy, std::vector<meadowyard::Action>& actions) {
+  meadowyard::Endpoint endpoint;
+  endpoint.id = "10.0.0.7:8080";
+  meadowyard::EndpointUpdate update;
+  update.kind = meadowyard::EndpointUpdate::Kind::kSnapshot;
+  update.endpoints.push_back(endpoint);
+  policy.Handle(0, update, actions);
+}
 
-  Server server;
-  server.id = "10.0.0.7:8080";
-  policy.handle(0, ServerNews{ServerNews::Kind::kFull, {server}}, actions);
+/// Reports that the endpoint has answered an attempt, as the gateway does.
+void ReportServed(meadowyard::Policy& policy, const meadowyard::StartAttempt& attempt) {
+  meadowyard::AttemptOutcome outcome;
+  outcome.request = attempt.request;
+  outcome.endpoint = attempt.endpoint;
+  outcome.result = meadowyard::AttemptResult::kServed;
+  outcome.request_finished = true;
+  outcome.latency = kResponse - kArrival;
+  std::vector<meadowyard::Action> actions;
+  policy.Handle(kResponse, outcome, actions);
+}
+
+}  // namespace
+
+int main() {
+  meadowyard::Policy policy(MakeSettings(), /*seed=*/42);
+  std::vector<meadowyard::Action> actions;
+  ReportEndpoints(policy, actions);
 
-  Request request;
+  meadowyard::Request request;
   request.id = "r1";
   request.class_name = "page";
   request.time_left = 1000;
   actions.clear();
-  policy.handle(5, request, actions);
-  for (const Action& action : actions) {
-    if (const auto* send = std::get_if<Send>(&action)) {
-      std::cout << "send " << send->request << " to " << send->server << "\n";
-      Outcome outcome;  // what the gateway reports once the server has answered
-      outcome.request = send->request;
-      outcome.server = send->server;
-      outcome.result = Result::kServed;
-      outcome.finished = true;
-      outcome.latency = 31;
-      std::vector<Action> more;
-      policy.handle(36, outcome, more);
+  policy.Handle(kArrival, request, actions);
+  for (const meadowyard::Action& action : actions) {
+    if (const auto* attempt = std::get_if<meadowyard::StartAttempt>(&action)) {
+      std::cout << "start " << attempt->request << " at " << attempt->endpoint << "\n";
+      ReportServed(policy, *attempt);
       std::cout << "served\n";
       return 0;
     }
--- a/include/meadowyard/policy.hpp
+++ b/include/meadowyard/policy.hpp
@@ -271,7 +271,7 @@
   int present = 1;          ///< Gateways that are present, as this one sees it.
   int rank = 0;             ///< Of this one among those present, from 0.
   Millis quorum_until = 0;  ///< Until then this one is in contact with a majority of those configured.
-  Gossip gossip;            ///< What others have told since the last update.
+  Gossip gossip;            ///< What others have sent since the last update.
 };
 
 /// What one gateway observes of a zone.
@@ -418,7 +418,7 @@
   [[nodiscard]] Admission CheckAdmission(Millis now, const std::string& class_name,
                                          Idempotency idempotency) const;
   [[nodiscard]] Stats CollectStats() const;
-  /// What other gateways may be told; see MembershipUpdate.
+  /// What may be sent to other gateways; see MembershipUpdate.
   [[nodiscard]] Gossip CollectGossip() const;
   [[nodiscard]] ZoneLoadReport CollectZoneLoad() const;
   /// Zone weights by the last agreement; requests beyond their sum are rejected. Empty: nothing was agreed.
