--- a/src/http/messages.hpp
+++ b/src/http/messages.hpp
@@ -16,7 +16,7 @@
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-constexpr std::uint64_t kMostBody = 64 * 1024;  // that is held whole; beyond it a body is a stream
+constexpr std::uint64_t kMostBody = 64 << 10;  // that is buffered; a longer body is streamed
 constexpr std::uint32_t kMostHeader = 16 * 1024;
 
 inline std::string_view View(boost::beast::string_view text) { return {text.data(), text.size()}; }
--- a/src/routing/destination.cpp
+++ b/src/routing/destination.cpp
@@ -21,8 +21,8 @@
       label = 0;
       continue;
     }
-    const auto c = static_cast<unsigned char>(name[i]);
-    if (!std::isalnum(c) && c != '_' && !(c == '-' && label > 0)) return false;
+    const auto character = static_cast<unsigned char>(name[i]);
+    if (!std::isalnum(character) && character != '_' && !(character == '-' && label > 0)) return false;
     ++label;
   }
   // All digits and dots, but no address: some resolvers would make one of it.
@@ -39,8 +39,8 @@
 }
 
 std::optional<Destination> MakeDestination(std::string_view host, std::uint16_t port, std::string& why) {
-  Destination d;
-  d.port = port;
+  Destination destination;
+  destination.port = port;
   if (port == 0) {
     why = "port 0";
     return std::nullopt;
@@ -49,18 +49,18 @@
   const ip::address address = ip::make_address(std::string(host), ec);
   if (!ec) {
     const bool mapped = address.is_v6() && address.to_v6().is_v4_mapped();
-    d.address = mapped ? ip::address(ip::make_address_v4(ip::v4_mapped, address.to_v6())) : address;
-    return d;
+    destination.address = mapped ? ip::address(ip::make_address_v4(ip::v4_mapped, address.to_v6())) : address;
+    return destination;
   }
   if (host.ends_with('.')) host.remove_suffix(1);
   if (!GoodName(host)) {
     why = "neither an address nor a name";
     return std::nullopt;
   }
-  d.name.resize(host.size());
-  std::transform(host.begin(), host.end(), d.name.begin(),
-                 [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
-  return d;
+  destination.name.resize(host.size());
+  std::transform(host.begin(), host.end(), destination.name.begin(),
+                 [](unsigned char character) { return static_cast<char>(std::tolower(character)); });
+  return destination;
 }
 
 std::optional<Destination> ParseDestination(std::string_view text, std::string& why) {
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -81,26 +81,28 @@
 std::optional<Pattern> ParseNetwork(std::string_view text, std::string& why) {
   const std::size_t slash = text.find('/');
   boost::system::error_code ec;
-  Pattern p;
-  p.kind = Pattern::Kind::kNetwork;
-  p.network = ip::make_address(std::string(text.substr(0, slash)), ec);
+  Pattern pattern;
+  pattern.kind = Pattern::Kind::kNetwork;
+  pattern.network = ip::make_address(std::string(text.substr(0, slash)), ec);
   const std::string_view digits = slash == std::string_view::npos ? "" : text.substr(slash + 1);
-  const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), p.prefix);
-  if (ec || digits.empty() || error != std::errc() || end != digits.data() + digits.size() || p.prefix < 0 ||
-      p.prefix > Bits(p.network)) {
+  const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), pattern.prefix);
+  if (ec || digits.empty() || error != std::errc() || end != digits.data() + digits.size() ||
+      pattern.prefix < 0 || pattern.prefix > Bits(pattern.network)) {
     why = "'" + std::string(text) + "' is not a network such as 10.0.0.0/8";
     return std::nullopt;
   }
-  const bool beyond = p.network.is_v4()
-                          ? (p.prefix < 32 && (p.network.to_v4().to_uint() & (0xffffffffu >> p.prefix)) != 0)
-                          : !(ip::make_network_v6(p.network.to_v6(), static_cast<unsigned short>(p.prefix))
-                                  .canonical()
-                                  .address() == p.network.to_v6());
-  if (beyond) {
+  const bool has_host_bits =
+      pattern.network.is_v4()
+          ? (pattern.prefix < 32 &&
+             (pattern.network.to_v4().to_uint() & (0xffffffffu >> pattern.prefix)) != 0)
+          : !(ip::make_network_v6(pattern.network.to_v6(), static_cast<unsigned short>(pattern.prefix))
+                  .canonical()
+                  .address() == pattern.network.to_v6());
+  if (has_host_bits) {
     why = "'" + std::string(text) + "' has bits beyond its prefix";
     return std::nullopt;
   }
-  return p;
+  return pattern;
 }
 
 const Route& RouteTable::Find(const Destination& to) const {
--- a/src/routing/table.hpp
+++ b/src/routing/table.hpp
@@ -49,7 +49,7 @@
       : rules_(std::move(rules)), otherwise_(std::move(otherwise)) {}
 
   const Route& Find(const Destination& to) const;
-  // Which rule took it and why, and why each one before it did not; lines end with '\n'.
+  // Which rule matches and why, and why each earlier one does not; lines end with '\n'.
   std::string Explain(const Destination& to) const;
   std::vector<Shadow> Shadows() const;
   const std::vector<Route>& rules() const { return rules_; }
