--- a/src/core/gateway.hpp
+++ b/src/core/gateway.hpp
@@ -26,7 +26,7 @@
     std::function<void()> watch;  // the module asks for the list of hosts
     std::function<void(const Log& entry)> log;
   };
-  // Throws std::invalid_argument naming the field when the settings can't work. `clock` and `upstream`
+  // Throws ConfigurationError naming the field when the settings can't work. `clock` and `upstream`
   // outlive it.
   Gateway(Clock& clock, const Settings& settings, std::uint64_t seed, Upstream& upstream, Handlers handlers);
 
--- /dev/null
+++ b/src/decision/load_balancer.cpp
@@ -0,0 +1,145 @@
+#include "decision/load_balancer.hpp"
+
+#include <algorithm>
+#include <cmath>
+#include <cstddef>
+#include <utility>
+
+#include "decision/hashing.hpp"
+
+namespace meadowyard::decision {
+namespace {
+
+constexpr double kCrossZoneCost =
+    1.3;  // cost of an endpoint in another zone, times its own: crossing is priced
+constexpr double kPooledSamples = 2;  // samples that the latency of an endpoint's kind counts for
+
+}  // namespace
+
+LoadBalancer::LoadBalancer(const Settings& settings, EndpointRegistry& registry, EndpointTracker& tracker,
+                           const SubsetSelector& subset, const TrafficClassTable& classes,
+                           const ZoneRouter& zones, RandomSource& random)
+    : settings_(settings),
+      registry_(registry),
+      tracker_(tracker),
+      subset_(subset),
+      classes_(classes),
+      zones_(zones),
+      random_(random) {}
+
+double LoadBalancer::CostOf(const EndpointRecord& endpoint) const {
+  // A few samples of an endpoint tell little: where many gateways share it they are shrunk toward those of
+  // its kind.
+  const LatencyEstimate& kind = endpoint.kind->latency;
+  const double pooled_samples = subset_.IsShared() && kind.smoothed > 0 ? kPooledSamples : 0;
+  const double own_samples = std::min(1.0 * endpoint.latency.samples, 1 / kLatencyWeight);
+  const double samples = own_samples + pooled_samples;
+  double latency =
+      (own_samples * endpoint.latency.smoothed + pooled_samples * kind.smoothed) / std::max(1.0, samples);
+  if (samples <= 0) {
+    const double median = registry_.MedianLatency();
+    latency = median > 0 ? median : 1;
+  }
+  const double crossing = endpoint.info.zone == settings_.zone ? 1 : kCrossZoneCost;
+  return crossing * (endpoint.in_flight + endpoint.tunnels + 1) * latency;
+}
+
+bool LoadBalancer::IsAllowed(const RequestState& request, const EndpointRecord& endpoint, Millis now) const {
+  const TrafficClassSettings& settings = classes_[request.class_index].settings;
+  if (settings.idempotency != Idempotency::kIdempotencyKey) return true;
+  const AttemptState* const first = request.FirstExecuted();
+  if (first == nullptr || first->is_in_flight) return true;  // none, or the one that is on its way there
+  if (now - first->started_at >= settings.dedup_window) return false;
+  const Endpoint& executed_by = first->endpoint->info;
+  switch (settings.dedup_scope) {
+    case DedupScope::kAll: return true;
+    case DedupScope::kZone: return executed_by.zone == endpoint.info.zone;
+    case DedupScope::kCell: return executed_by.cell == endpoint.info.cell;
+  }
+  return false;
+}
+
+bool LoadBalancer::IsSelectable(const RequestState& request, const EndpointRecord& endpoint,
+                                const std::string* zone, Millis now) const {
+  if (!endpoint.up) return false;
+  if (request.IsPinned()) {  // goes there whatever the subset, and again
+    if (!IsHashOf(request.pinned_endpoint, endpoint.hash)) return false;
+  } else {
+    const bool was_last = !request.attempts.empty() && request.attempts.back().endpoint == &endpoint;
+    if (!endpoint.in_subset || was_last) return false;
+  }
+  if (!IsAllowed(request, endpoint, now)) return false;
+  const int occupied = endpoint.tunnels + endpoint.in_flight;
+  const int max_tunnels = settings_.max_tunnels_per_endpoint;
+  if (request.is_tunnel && max_tunnels > 0 && occupied >= max_tunnels) return false;
+  if (zone == nullptr || endpoint.info.zone == *zone) return true;
+  // Ejected endpoints of the own zone are probed wherever requests go: nobody else may be there to find out.
+  return endpoint.outlier.ejected && endpoint.info.zone == settings_.zone;
+}
+
+LoadBalancer::Scan LoadBalancer::FindCandidates(const RequestState& request, double untimely_share,
+                                                Millis now) {
+  const Idempotency idempotency = classes_[request.class_index].settings.idempotency;
+  const bool may_probe = idempotency == Idempotency::kIdempotent && request.IsFirstAttempt();
+  const std::string* const zone = zones_.ZoneFor(request);
+  Scan scan;
+  candidates_.clear();
+  for (auto& [id, endpoint] : registry_.records()) {
+    if (!IsSelectable(request, endpoint, zone, now)) continue;
+    if (endpoint.outlier.ejected) {
+      if (tracker_.IsProbeDue(endpoint, now)) scan.probe = &endpoint;
+      scan.probe_chosen = may_probe && scan.probe != nullptr;
+      if (scan.probe_chosen) return scan;
+      continue;
+    }
+    scan.found_trusted = true;
+    if (tracker_.IsReady(endpoint, request.within_quota, untimely_share, now)) {
+      candidates_.push_back({.rank = 0, .endpoint = &endpoint});
+    }
+  }
+  return scan;
+}
+
+// An ejected endpoint returns by one health probe at a time, with a request that may run again; with any
+// where no endpoint is trusted, for else it would never return where there are no such requests.
+EndpointRecord* LoadBalancer::Pick(const RequestState& request, double untimely_share, Millis now) {
+  const Scan scan = FindCandidates(request, untimely_share, now);
+  if (scan.probe_chosen) return scan.probe;
+  if (candidates_.empty()) {
+    const bool may_probe = !scan.found_trusted && request.IsFirstAttempt();
+    return may_probe ? scan.probe : nullptr;
+  }
+  if (!request.IsFirstAttempt() && request.attempts.back().was_unreachable) {
+    AvoidZone(request.attempts.back().endpoint->info.zone);
+  }
+  if (candidates_.size() > 2) MoveTwoToFront(request);
+  EndpointRecord* const first = candidates_.front().endpoint;
+  EndpointRecord* const second = candidates_.size() > 1 ? candidates_[1].endpoint : first;
+  return CostOf(*second) < CostOf(*first) ? second : first;
+}
+
+// A zone that has failed fails one connection after another: the retry goes elsewhere, if there is another.
+void LoadBalancer::AvoidZone(const std::string& zone) {
+  const auto there = std::partition(candidates_.begin(), candidates_.end(), [&](const Candidate& candidate) {
+    return candidate.endpoint->info.zone != zone;
+  });
+  if (there != candidates_.begin()) candidates_.erase(there, candidates_.end());
+}
+
+void LoadBalancer::MoveTwoToFront(const RequestState& request) {
+  if (!settings_.key_affinity || request.key == 0) {
+    const std::size_t count = candidates_.size();
+    std::swap(candidates_[0], candidates_[random_.Index(count)]);
+    std::swap(candidates_[1], candidates_[1 + random_.Index(count - 1)]);
+    return;
+  }
+  // Weighted rendezvous hashing: an endpoint that comes or goes moves its own keys alone.
+  for (Candidate& candidate : candidates_) {
+    const EndpointRecord& endpoint = *candidate.endpoint;
+    candidate.rank = -std::log(UnitFraction(request.key ^ endpoint.hash)) / endpoint.info.weight;
+  }
+  std::partial_sort(candidates_.begin(), candidates_.begin() + 2, candidates_.end(),
+                    [](const Candidate& left, const Candidate& right) { return left.rank < right.rank; });
+}
+
+}  // namespace meadowyard::decision
--- a/src/lab/fleet_figures.cpp
+++ b/src/lab/fleet_figures.cpp
@@ -9,8 +9,8 @@
 #include <stdexcept>
 #include <unordered_map>
 
-#include "decision/state.hpp"
-#include "decision/subset.hpp"
+#include "decision/hashing.hpp"
+#include "decision/subset_assignment.hpp"
 #include "lab/host_model.hpp"
 #include "lab/random.hpp"
 #include "lab/stream.hpp"
@@ -30,18 +30,19 @@
 
 using Choice = std::vector<std::vector<std::size_t>>;  // by place, sorted
 
-std::vector<Subsets::Item> Draw(std::size_t hosts, std::uint64_t seed) {
+std::vector<decision::SubsetAssignment::Candidate> Draw(std::size_t hosts, std::uint64_t seed) {
   Random random(seed, "hosts");
-  std::vector<Subsets::Item> items(hosts);
-  for (Subsets::Item& item : items) {
+  std::vector<decision::SubsetAssignment::Candidate> items(hosts);
+  for (decision::SubsetAssignment::Candidate& item : items) {
     item.group = random.Chance(kFirstKind) ? 0 : kKinds - 1;
     item.hash = random.Bits();
   }
   return items;
 }
 
-Choice Choose(std::vector<Subsets::Item> items, std::size_t gateways, std::size_t size) {
-  Subsets subsets(std::move(items), size);
+Choice Choose(std::vector<decision::SubsetAssignment::Candidate> items, std::size_t gateways,
+              std::size_t size) {
+  decision::SubsetAssignment subsets(std::move(items), size);
   Choice choice(gateways);
   for (auto& own : choice) {
     own = subsets.Next();
@@ -207,11 +208,11 @@
   size = std::max(size, (2 * hosts + gateways - 1) / gateways);  // as the module does: two gateways a host
   Random random(seed, "cold");
   EndpointUpdate news;
-  std::vector<Subsets::Item> items;
+  std::vector<decision::SubsetAssignment::Candidate> items;
   for (std::size_t i = 0; i < hosts; ++i) {
     Endpoint server;
     server.id = "h" + std::to_string(i);
-    items.push_back({0, Hash(server.id)});
+    items.push_back({0, decision::HashId(server.id)});
     news.endpoints.push_back(server);
   }
   const Choice choice = Choose(items, gateways, size);
--- a/src/simwire/wire.cpp
+++ b/src/simwire/wire.cpp
@@ -6,6 +6,8 @@
 #include <limits>
 #include <utility>
 
+#include "meadowyard/error.hpp"
+
 namespace meadowyard::wire {
 namespace {
 
@@ -141,14 +143,14 @@
     c.dedup_window = Number<double>(value, "repeatWindowMs");
   } else if (field == "idempotency") {
     if (value != "pure" && value != "token" && value != "side_effect") {
-      throw std::invalid_argument("classes.effect: unknown '" + std::string(value) + "'");
+      throw ConfigurationError("classes.idempotency", "unknown '" + std::string(value) + "'");
     }
     c.idempotency = value == "pure"    ? Idempotency::kIdempotent
                     : value == "token" ? Idempotency::kIdempotencyKey
                                        : Idempotency::kNonIdempotent;
   } else if (field == "group") {
     if (value != "all" && value != "zone" && value != "cell") {
-      throw std::invalid_argument("classes.group: unknown '" + std::string(value) + "'");
+      throw ConfigurationError("classes.dedup_scope", "unknown '" + std::string(value) + "'");
     }
     c.dedup_scope = value == "all"    ? DedupScope::kAll
                     : value == "zone" ? DedupScope::kZone
@@ -273,7 +275,7 @@
   policies_.erase(*at_);
   try {
     policies_.try_emplace(*at_, ParseSettings(Parts(parts.begin() + 2, parts.end())), seed);
-  } catch (const std::invalid_argument& error) {
+  } catch (const ConfigurationError& error) {
     throw WireError(std::string("settings that cannot work: ") + error.what());
   }
 }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <set>
 
-#include "decision/subset.hpp"
+#include "decision/subset_assignment.hpp"
 #include "edge/edge_config.hpp"
 #include "gateway.hpp"
 #include "peers/peer_view.hpp"
@@ -16,9 +16,9 @@
 namespace meadowyard::testing {
 namespace {
 
-std::vector<Subsets::Item> Hosts(std::size_t n, std::uint64_t seed) {
+std::vector<decision::SubsetAssignment::Candidate> Hosts(std::size_t n, std::uint64_t seed) {
   std::mt19937_64 random(seed);
-  std::vector<Subsets::Item> items(n);
+  std::vector<decision::SubsetAssignment::Candidate> items(n);
   for (auto& item : items) item.group = random() % 10 < 3 ? 0 : 1, item.hash = random();
   return items;
 }
@@ -38,7 +38,7 @@
                         {40, 1, 1},
                         {100, 97, 13}}) {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-      Subsets subsets(Hosts(c.hosts, seed), c.size);
+      decision::SubsetAssignment subsets(Hosts(c.hosts, seed), c.size);
       std::vector<int> loads(c.hosts, 0);
       for (std::size_t g = 0; g < c.gateways; ++g) {
         const auto& own = subsets.Next();
@@ -59,7 +59,7 @@
   const auto hosts = Hosts(50, 3);
   auto fewer = hosts;
   fewer.pop_back();
-  Subsets all(hosts, 12), without(fewer, 12);
+  decision::SubsetAssignment all(hosts, 12), without(fewer, 12);
   std::size_t moved = 0, pairs = 0, needed = 0;
   for (int g = 0; g < 16; ++g) {
     const auto before = all.Next(), after = without.Next();
--- a/tests/policy_test.cpp
+++ b/tests/policy_test.cpp
@@ -8,6 +8,7 @@
 #include <stdexcept>
 
 #include "gateway.hpp"
+#include "meadowyard/error.hpp"
 
 namespace meadowyard::testing {
 namespace {
@@ -18,16 +19,17 @@
     change(s);
     try {
       Policy policy(s, 1);
-    } catch (const std::invalid_argument& error) {
+    } catch (const ConfigurationError& error) {
       return error.what();
     }
     return "";
   };
   EXPECT_NE(fault([](Settings& s) { s.classes.clear(); }).find("classes"), std::string::npos);
   EXPECT_NE(fault([](Settings& s) { s.classes[0].deadline = 0; }).find("deadline"), std::string::npos);
-  EXPECT_NE(fault([](Settings& s) { s.classes[0].latency_objective = -1; }).find("aim"), std::string::npos);
+  EXPECT_NE(fault([](Settings& s) { s.classes[0].latency_objective = -1; }).find("latency_objective"),
+            std::string::npos);
   EXPECT_NE(fault([](Settings& s) { s.tenants = {{"t", -1}}; }).find("quota"), std::string::npos);
-  EXPECT_NE(fault([](Settings& s) { s.gateway_count = 0; }).find("gateways"), std::string::npos);
+  EXPECT_NE(fault([](Settings& s) { s.gateway_count = 0; }).find("gateway_count"), std::string::npos);
   EXPECT_EQ(fault([](Settings&) {}), "");
 }
 
@@ -1117,7 +1119,7 @@
   EXPECT_EQ(g.policy.CheckAdmission(g.now, "view297", Idempotency::kIdempotent),
             Policy::Admission::kUnknownClass);
   settings.classes[0].deadline = 0;
-  EXPECT_THROW(g.Do(SettingsChanged{settings}), std::invalid_argument);
+  EXPECT_THROW(g.Do(SettingsChanged{settings}), ConfigurationError);
   EXPECT_EQ(Gateway::Count<StartAttempt>(g.Ask("r", "view299")), 1);
 }
 
