--- a/src/decision/class_queues.cpp
+++ b/src/decision/class_queues.cpp
@@ -9,7 +9,7 @@
 
 constexpr double kMaxCredit = 4;                 // credit stays within +- this many requests
 constexpr double kMaxWaitShare = 0.25;           // of its time that a request waits at most
-constexpr double kMaxWaitShareOverQuota = 0.05;  // the same beyond a quota: it occupies a client for little
+constexpr double kMaxWaitShareOverQuota = 0.05;  // the same over quota: it occupies a client for little
 constexpr double kMinQueueCapacity = 32;         // requests of a class
 constexpr double kMillisPerSecond = 1000;
 
@@ -53,7 +53,7 @@
   --size_;
 }
 
-RequestState* ClassQueues::MakeRoom(RequestState& request, double dispatch_rate) {
+RequestState* ClassQueues::ReserveSlot(RequestState& request, double dispatch_rate) {
   TrafficClass& traffic_class = classes_[request.class_index];
   // More can't be served in time.
   const double capacity =
@@ -126,9 +126,9 @@
   return std::nullopt;
 }
 
-// The first request with an endpoint for it. One that not every endpoint may take blocks nobody, and one that
-// waits for a zone blocks those for the same zone alone. A release without a request: the whole class is
-// blocked, for its endpoints can take nothing.
+// The first request with an endpoint for it. One that not every endpoint may take blocks no other, and one
+// that waits for a zone blocks those for the same zone alone. A release without a request: all of the class
+// is blocked, for its endpoints can take nothing.
 std::optional<ClassQueues::Release> ClassQueues::FirstReleasable(RequestQueue& queue, double untimely_share,
                                                                  Millis now) {
   std::set<const std::string*> blocked_zones;
--- a/src/decision/class_queues.hpp
+++ b/src/decision/class_queues.hpp
@@ -42,10 +42,10 @@
   /// Nothing happens if it does not wait.
   void Remove(RequestState& request);
 
-  /// Makes room in its class's queues for a request: returns the one that has to be rejected for it, which is
-  /// the request itself, or one beyond a quota that is removed from its queue; null: there is room.
-  /// `dispatch_rate`: attempts per second.
-  RequestState* MakeRoom(RequestState& request, double dispatch_rate);
+  /// Reserves a slot in its class's queues for a request: returns the one that has to be rejected for it,
+  /// which is the request itself, or one over quota that is removed from its queue; null: there is a free
+  /// slot. `dispatch_rate`: attempts per second.
+  RequestState* ReserveSlot(RequestState& request, double dispatch_rate);
 
   /// Requests that can't wait any longer.
   [[nodiscard]] std::vector<RequestState*> CollectExpired(Millis now);
--- a/src/decision/concurrency_limiter.cpp
+++ b/src/decision/concurrency_limiter.cpp
@@ -21,9 +21,9 @@
 constexpr double kMinSamplesToMove = 2;  // a limit moves by a part of itself with each sample
 constexpr double kInitialLimit = 8;      // requests, over all gateways, of an unmeasured endpoint
 constexpr double kInitialReportedLimit =
-    2;                                    // the same where endpoints report: growth follows as they show room
+    2;  // the same where endpoints report: growth follows as they show spare capacity
 constexpr double kMinLimit = 1;           // the same, that a congested endpoint keeps
-constexpr double kBusyUtilization = 0.6;  // above which traffic beyond quotas is held back
+constexpr double kBusyUtilization = 0.6;  // above which traffic over quota is held back
 constexpr double kOverQuotaShare = 0.3;   // part of a limit that is open to it then
 
 // Weight of a new sample in an average: the plain mean while there are few.
--- a/src/decision/concurrency_limiter.hpp
+++ b/src/decision/concurrency_limiter.hpp
@@ -24,7 +24,7 @@
 
   /// The endpoint is a new process: nothing that was measured holds for it.
   void Reset(EndpointRecord& endpoint) const;
-  /// Whether the endpoint can take one more request. Requests beyond a tenant's quota get a part of the limit
+  /// Whether the endpoint can take one more request. Requests over a tenant's quota get a part of the limit
   /// while the endpoint's kind is busy.
   [[nodiscard]] bool HasCapacity(const EndpointRecord& endpoint, bool within_quota, Millis now) const;
 
--- a/src/decision/endpoint_record.hpp
+++ b/src/decision/endpoint_record.hpp
@@ -27,7 +27,7 @@
 /// Written by ConcurrencyLimiter.
 struct ConcurrencyState {
   double limit = 1;  ///< Requests of this gateway that it takes uncongested; below 1 it pauses in between.
-  double slots = 1;  ///< The limit, rounded by chance to whole requests.
+  double slots = 1;  ///< The limit, rounded by chance to an integer.
   Millis paused_until = kNever;
 };
 
--- a/src/decision/endpoint_tracker.cpp
+++ b/src/decision/endpoint_tracker.cpp
@@ -7,7 +7,7 @@
 namespace meadowyard::decision {
 namespace {
 
-// Untimely share of recent outcomes below which requests beyond quotas are sent where many gateways share an
+// Untimely share of recent outcomes below which requests over quota are sent where many gateways share an
 // endpoint.
 constexpr double kMaxUntimelyForOverQuota = 0.1;
 constexpr Millis kMinRestartInterval = 500;    // ms by which two starts of an endpoint differ at the least
@@ -65,8 +65,8 @@
 }
 
 // Where many gateways share an endpoint, a limit each would be a fraction of a request learned from next to
-// nothing. There the rate alone admits, and what is beyond a quota goes only while all goes well: it took
-// tokens like any other.
+// nothing. There the rate alone admits, and what is over quota is sent only while outcomes are timely: it
+// took tokens like any other.
 bool EndpointTracker::IsReady(EndpointRecord& endpoint, bool within_quota, double untimely_share,
                               Millis now) {
   const bool has_capacity = subset_.IsShared() ? within_quota || untimely_share < kMaxUntimelyForOverQuota
--- a/src/decision/hashing.hpp
+++ b/src/decision/hashing.hpp
@@ -2,7 +2,7 @@
 /// The hash that ranks endpoints and keys.
 ///
 /// It stays beside xxHash, which the subset assignment uses, because it defines which endpoint a key goes to
-/// and how all gateways of a fleet order the endpoints, old and new versions alike.
+/// and how all gateways order the endpoints, old and new versions alike.
 #ifndef MEADOWYARD_DECISION_HASHING_HPP_
 #define MEADOWYARD_DECISION_HASHING_HPP_
 
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -73,7 +73,8 @@
   const int max_tunnels = settings_.max_tunnels_per_endpoint;
   if (request.is_tunnel && max_tunnels > 0 && occupied >= max_tunnels) return false;
   if (zone == nullptr || endpoint.info.zone == *zone) return true;
-  // Ejected endpoints of the own zone are probed wherever requests go: nobody else may be there to find out.
+  // Ejected endpoints of the own zone are probed wherever requests go: there may be no other gateway to find
+  // out.
   return endpoint.outlier.ejected && endpoint.info.zone == settings_.zone;
 }
 
--- a/src/decision/load_report_tracker.hpp
+++ b/src/decision/load_report_tracker.hpp
@@ -25,8 +25,8 @@
   /// The endpoint is a new process.
   static void Reset(EndpointRecord& endpoint) { endpoint.utilization = 0; }
   void Record(EndpointRecord& endpoint, const std::vector<double>& load) const;
-  /// How far an endpoint's utilization is above what leaves room for the gateways, none of which knows what
-  /// the others send next; negative: below.
+  /// How far an endpoint's utilization is above what leaves a reserve for the gateways, none of which knows
+  /// what the others send next; negative: below.
   [[nodiscard]] double Overuse(const EndpointRecord& endpoint) const;
 
  private:
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -9,14 +9,15 @@
 
 constexpr double kEjectionThreshold = 0.3;     // failure rate above which an endpoint is ejected
 constexpr double kRestorationThreshold = 0.1;  // and below which, after probes, it is trusted again
-constexpr double kFleetFailureWeight = 0.02;  // of a new outcome in the failure rate of all trusted endpoints
+constexpr double kOverallFailureWeight =
+    0.02;                                     // of a new outcome in the failure rate of all trusted endpoints
 constexpr double kDeviations = 3;             // standard deviations from that which chance is granted
 constexpr Millis kFirstProbeInterval = 300;   // ms to the first probe; doubles
 constexpr Millis kMaxProbeInterval = 4000;    // ms
 constexpr int kMaxIntervalsLeftToOthers = 8;  // probe intervals that a gateway leaves to other gateways
 constexpr double kMinJitter = 0.75;           // of a probe interval
 constexpr double kJitterRange = 0.5;
-constexpr Millis kRecoveryNewsFor = 2000;  // ms that an endpoint's recovery is news
+constexpr Millis kRecoveryReportedFor = 2000;  // ms that an endpoint's recovery is reported to other gateways
 
 }  // namespace
 
@@ -62,7 +63,7 @@
   // Where many gateways overload service discovery, endpoints that have gone stay listed for long: each
   // speaks for itself alone, or with most of them gone none would be ejected.
   const bool is_absent = evidence.connect_failed && subset_.IsShared();
-  if (!is_absent && !state.ejected) failure_rate_ += kFleetFailureWeight * (failed - failure_rate_);
+  if (!is_absent && !state.ejected) failure_rate_ += kOverallFailureWeight * (failed - failure_rate_);
 }
 
 void OutlierDetector::OnProbeServed(EndpointRecord& endpoint, Millis now) const {
@@ -103,7 +104,7 @@
 void OutlierDetector::OnRecoveryHint(EndpointRecord& endpoint, Millis now) {
   OutlierState& state = endpoint.outlier;
   if (!state.ejected) return;
-  if (now - std::exchange(state.hinted_at, now) < kRecoveryNewsFor) return;
+  if (now - std::exchange(state.hinted_at, now) < kRecoveryReportedFor) return;
   state.probe_interval = kFirstProbeInterval;
   state.next_probe = std::min(state.next_probe, now + kFirstProbeInterval * random_.Uniform());
 }
@@ -113,7 +114,7 @@
 }
 
 bool OutlierDetector::WasRestoredRecently(const EndpointRecord& endpoint, Millis now) {
-  return now - endpoint.outlier.restored_at < kRecoveryNewsFor;
+  return now - endpoint.outlier.restored_at < kRecoveryReportedFor;
 }
 
 double OutlierDetector::EjectionThreshold() const {
--- a/src/decision/outlier_detector.hpp
+++ b/src/decision/outlier_detector.hpp
@@ -3,10 +3,10 @@
 ///
 /// Failures that all endpoints have alike (a network that resets connections, clients that spoil requests)
 /// say little of one of them, and ejecting endpoints for those leaves nowhere to send. So an endpoint is held
-/// against what the trusted ones fail: ejected beyond the spread of chance round that, restored under it and
+/// against what the trusted ones fail: ejected above the spread of chance round that, restored under it and
 /// a little more. With failures at one endpoint alone both are the plain thresholds. It covers errors that a
 /// release brings to all endpoints, too. It could hurt where nearly all fail and a few do not: these are not
-/// told apart until their failure rates differ by more than the spread.
+/// distinguished until their failure rates differ by more than the spread.
 #ifndef MEADOWYARD_DECISION_OUTLIER_DETECTOR_HPP_
 #define MEADOWYARD_DECISION_OUTLIER_DETECTOR_HPP_
 
@@ -69,7 +69,7 @@
   void OnRecoveryHint(EndpointRecord& endpoint, Millis now);
   /// Whether an ejected endpoint may be sent one probe now.
   [[nodiscard]] static bool IsProbeDue(const EndpointRecord& endpoint, Millis now);
-  /// Whether a restored endpoint is news for other gateways.
+  /// Whether other gateways are to be notified of an endpoint's recovery.
   [[nodiscard]] static bool WasRestoredRecently(const EndpointRecord& endpoint, Millis now);
 
   void Save(LearnedState& state) const { state.failure_rate = failure_rate_; }
--- a/src/decision/rate_controller.cpp
+++ b/src/decision/rate_controller.cpp
@@ -59,7 +59,7 @@
 
 // Whether what is in flight could congest the endpoints. A jam shows in what is in flight, however it came
 // about, so with most of the measured limits unused failures have another cause, and sending less mends none
-// of them: an endpoint that rejects beyond a rate of its own, a few heavy requests, a request that fails
+// of them: an endpoint that rejects above a rate of its own, a few heavy requests, a request that fails
 // everywhere. It could hurt where limits are too high for what endpoints can do, until their latency has
 // taught better.
 bool RateController::IsCongested(int in_flight) const {
@@ -78,9 +78,10 @@
   if (endpoint.outlier.ejected || result == AttemptResult::kReset) return false;
   // Where many gateways share the endpoints, one that rejects everything or can't be reached is on its way
   // out, and it alone is ejected for it: an outdated list is no jam.
-  const bool was_refused = result == AttemptResult::kConnectFailed || result == AttemptResult::kRejected;
+  const bool was_unreachable_or_full =
+      result == AttemptResult::kConnectFailed || result == AttemptResult::kRejected;
   const bool is_silent = now - endpoint.outlier.last_served_at > kPresumedDeadAfter;
-  if (was_refused && subset_.IsShared() && is_silent) return false;
+  if (was_unreachable_or_full && subset_.IsShared() && is_silent) return false;
   // An endpoint that is full pauses, which is all that its fullness asks for where limits are kept.
   return result != AttemptResult::kRejected || subset_.IsShared();
 }
--- a/src/decision/request_processor.cpp
+++ b/src/decision/request_processor.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kBudgetWeight = 0.04;  // of a first attempt in the time that clients have left at one
-constexpr double kFallingBudgetWeight = kBudgetWeight / 4;  // the same where retries can't be told apart
+constexpr double kFallingBudgetWeight = kBudgetWeight / 4;  // the same where retries can't be recognised
 constexpr double kFirstAttemptShare = 0.95;  // part of the observed time budget below which it is a retry
 constexpr double kInformativeTimeout = 2;    // of a class's latency: a time-out after less tells little
 constexpr Millis kMinRetryAfter = 10;        // ms; "at once" would be no advice
@@ -44,8 +44,8 @@
   RequestState& request = Open(event, *traffic_class, time_left, now);
   const bool is_marked_retry = use_.settings.clients_mark_retries && event.is_retry;
   const bool is_late_retry = IsLateRetry(*traffic_class, time_left, is_marked_retry);
-  // A late retry is worth as little as what a tenant sends beyond its quota: a jam would feed on answers that
-  // come too late.
+  // A late retry counts as little as what a tenant sends over its quota: congestion would feed on answers
+  // that come too late.
   request.within_quota = !is_late_retry && use_.quotas.Admit(event.tenant, is_marked_retry, now);
   retry_budget_.Earn();
   if (IsHopeless(request, is_late_retry && is_marked_retry, now)) return Answer(request);
@@ -74,7 +74,7 @@
 // A retry has less time left than a first attempt. Where clients mark retries no other request is one, and
 // the time budget is the mean of what first attempts have left: a single client with more time than is usual
 // must not make all others look late. Elsewhere it is a guess from all requests, which follows the longest; a
-// guess has nobody rejected.
+// guess rejects no request.
 bool RequestProcessor::IsLateRetry(TrafficClass& traffic_class, Millis time_left,
                                    bool is_marked_retry) const {
   const bool retries_are_marked = use_.settings.clients_mark_retries;
@@ -91,7 +91,7 @@
   const TrafficClassSettings& settings = use_.classes[request.class_index].settings;
   const bool earns_nothing = is_late_marked_retry && settings.late_weight <= 0;
   const bool is_out_of_time = now >= request.deadline_at - kAnswerMargin;  // no sweep may come in time
-  return earns_nothing || is_out_of_time || use_.zones.IsBeyondCapacity(request);
+  return earns_nothing || is_out_of_time || use_.zones.ExceedsCapacity(request);
 }
 
 // A gateway out of connections could only fail to send, which would cost a token and an attempt.
@@ -109,7 +109,7 @@
 }
 
 void RequestProcessor::Enqueue(RequestState& request) {
-  if (RequestState* const displaced = use_.queues.MakeRoom(request, use_.rate.dispatch_rate())) {
+  if (RequestState* const displaced = use_.queues.ReserveSlot(request, use_.rate.dispatch_rate())) {
     const bool is_request_itself = displaced == &request;
     Answer(*displaced);
     if (is_request_itself) return;
--- a/src/decision/subset_assignment.cpp
+++ b/src/decision/subset_assignment.cpp
@@ -10,9 +10,11 @@
 namespace {
 
 constexpr double kGoldenRatio = 0.6180339887498949;
-constexpr double kRoundingSlack = 1e-9;  // a sum of fractions may fall just short of a whole number
+constexpr double kRoundingSlack = 1e-9;  // a sum of fractions may fall just short of an integer
 
-double GoldenRatioMultiple(std::uint64_t n) { return std::fmod(static_cast<double>(n) * kGoldenRatio, 1.0); }
+double GoldenRatioMultiple(std::uint64_t factor) {
+  return std::fmod(static_cast<double>(factor) * kGoldenRatio, 1.0);
+}
 
 double ShareOf(std::size_t subset_size, std::size_t endpoints) {
   return std::min(1.0,
--- a/src/decision/subset_assignment.hpp
+++ b/src/decision/subset_assignment.hpp
@@ -3,7 +3,7 @@
 ///
 /// Rendezvous hashing with bounded load. In the order of their ranks the gateways choose the endpoints that
 /// the fewest before them have, and among those the ones that a hash of rank and endpoint ranks first. All
-/// compute the same choice without asking each other; a gateway that joins at the end moves nobody, and one
+/// compute the same choice without asking each other; a gateway that joins at the end moves no other, and one
 /// that takes over a rank takes over its endpoints.
 ///
 /// Counting begins anew with each round of ranks in which every endpoint is due about once: so an endpoint
@@ -37,7 +37,7 @@
     int group = 0;
     std::uint64_t hash = 0;
     double position = 0;     // within its group, from 0 to 1
-    int times_chosen = 0;    // in this round, less what it is due beyond others
+    int times_chosen = 0;    // in this round, less what it is due more than others
     std::uint64_t rank = 0;  // for the gateway that chooses
     std::size_t index = 0;   // of the candidate
   };
--- a/src/decision/subset_selector.cpp
+++ b/src/decision/subset_selector.cpp
@@ -13,8 +13,8 @@
 namespace meadowyard::decision {
 namespace {
 
-// Gateways sharing an endpoint beyond which none keeps a limit for it: an eighth of an endpoint's requests is
-// too few to judge it alone.
+// Gateways sharing an endpoint above which none keeps a limit for it: an eighth of an endpoint's requests is
+// too few to assess it alone.
 constexpr double kMaxGatewaysWithLimits = 8;
 constexpr double kGatewaysPerEndpoint = 40;  // target, where there are more gateways than that
 constexpr double kMinSubsetSize = 6;         // some endpoints may fail together
@@ -91,7 +91,7 @@
 }
 
 // Each gateway has the endpoints of its rank among those present, and one more for each that is ejected, by
-// its own ranking, so that nobody else's change.
+// its own ranking, so that no other subset changes.
 void SubsetSelector::SelectByRank() {
   // Each gateway has its share of each kind; where requests are routed by zone, of each kind in each zone.
   std::map<std::pair<std::string, std::string>, std::vector<EndpointRecord*>> by_group;
@@ -144,10 +144,10 @@
 }
 
 std::uint64_t SubsetSelector::Fingerprint(const std::vector<EndpointRecord*>& endpoints) const {
-  constexpr int kMaxConfigured = 1000;  // keeps the two numbers apart
+  constexpr std::uint64_t kMaxConfigured = 1000;  // keeps the two numbers apart
   const int rank = membership_.rank();
-  const auto sizes =
-      static_cast<std::uint64_t>(settings_.subset_size * kMaxConfigured + membership_.configured());
+  const auto sizes = static_cast<std::uint64_t>(settings_.subset_size) * kMaxConfigured +
+                     static_cast<std::uint64_t>(membership_.configured());
   std::uint64_t fingerprint = XXH3_64bits_withSeed(&rank, sizeof rank, sizes);
   for (const EndpointRecord* const endpoint : endpoints) fingerprint = RankHash(*endpoint, fingerprint);
   return fingerprint;
--- a/src/decision/tenant_quotas.hpp
+++ b/src/decision/tenant_quotas.hpp
@@ -2,7 +2,7 @@
 /// Quotas of tenants: a token bucket each, for this gateway's part of the quota.
 ///
 /// A quota is of first attempts. Retries take nothing of it: a tenant within its quota whose requests were
-/// rejected would seem to be beyond it, and be rejected the more. They have a bucket of the same size, or
+/// rejected would seem to be over it, and be rejected the more. They have a bucket of the same size, or
 /// whoever marks all requests as retries would have no bound.
 #ifndef MEADOWYARD_DECISION_TENANT_QUOTAS_HPP_
 #define MEADOWYARD_DECISION_TENANT_QUOTAS_HPP_
@@ -24,7 +24,7 @@
   /// What tenants have used of their quotas stays.
   void Configure(const std::vector<TenantSettings>& tenants);
   /// Whether a request is within its tenant's quota; takes it from there. An unknown tenant has no quota.
-  [[nodiscard]] bool Admit(const std::string& tenant, bool is_retry, Millis now);
+  [[nodiscard]] bool Admit(const std::string& tenant_name, bool is_retry, Millis now);
 
  private:
   struct Bucket {
--- a/src/decision/zone_router.hpp
+++ b/src/decision/zone_router.hpp
@@ -29,7 +29,7 @@
   /// The zone that a request is to go to; null: any. The text stays valid until the next change.
   [[nodiscard]] const std::string* ZoneFor(const RequestState& request) const;
   /// Whether no zone has capacity for a request.
-  [[nodiscard]] bool IsBeyondCapacity(const RequestState& request) const {
+  [[nodiscard]] bool ExceedsCapacity(const RequestState& request) const {
     return !request.IsPinned() && request.zone_draw > 1 - overflow_share_;
   }
   /// By the agreement in force; empty: there is none.
--- a/src/decision/zone_weights.cpp
+++ b/src/decision/zone_weights.cpp
@@ -12,7 +12,7 @@
 // What one zone has to give away or to offer, in requests per second.
 struct Balance {
   const std::string* zone = nullptr;
-  double overflow = 0;   // demand beyond what it serves of its own
+  double overflow = 0;   // demand that it can't serve itself
   double capacity = 0;   // for others; below 0: it has too much of its own
   double allowance = 0;  // that it opens to others in each of the two steps
   int region = 0;
@@ -85,7 +85,7 @@
 
  private:
   void AddZone(const ZoneAgreement::Zone& zone, bool is_own) {
-    // Where most has failed everywhere it is no zone's fault, and going elsewhere helps nobody.
+    // Where most has failed everywhere it is no zone's fault, and routing elsewhere helps no request.
     const bool is_panic = totals_.available < settings_.panic_threshold * totals_.capacity;
     const double health = is_panic ? 1 : zone.health;
     const double served = std::min(1.0, settings_.overprovisioning * health);
