--- a/src/app/peer_service.cpp
+++ b/src/app/cluster_service.cpp
@@ -1,4 +1,4 @@
-#include "app/peer_service.hpp"
+#include "app/cluster_service.hpp"
 
 #include <nlohmann/json.hpp>
 #include <utility>
@@ -7,41 +7,41 @@
 
 namespace meadowyard {
 
-PeerService::PeerService(boost::asio::io_context& io, Discovery& discovery, Handlers handlers)
+ClusterService::ClusterService(boost::asio::io_context& io, Discovery& discovery, Handlers handlers)
     : io_(io), discovery_(discovery), handlers_(std::move(handlers)) {}
 
-void PeerService::Know(PeersConfig peers) {
+void ClusterService::Know(membership::PeersConfig peers) {
   peers_ = std::move(peers);
   Open();
 }
 
-void PeerService::Open() {
+void ClusterService::Open() {
   if (!peers_) return;
   Close();  // first: its address is free then
   if (peers_->share_list) ShareList();
   if (peers_->locality.enabled) ShareZones();
-  link_.emplace(
-      io_, *peers_,
-      PeerLink::Handlers{handlers_.gossip, handlers_.news,
-                         [this](int from, Duty duty, const DutyWord& word) { Heard(from, duty, word); },
-                         [this](double chance) { Beat(chance); },
-                         [this] { return zones_ ? std::optional(handlers_.sights()) : std::nullopt; },
-                         [this](int from, const ZoneLoadReport& sights) {
-                           if (zones_) zones_->See(Now(), from, sights);
-                         }});
+  link_.emplace(io_, *peers_,
+                membership::PeerLink::Handlers{
+                    handlers_.gossip, handlers_.news,
+                    [this](int from, Duty duty, const DutyWord& word) { Heard(from, duty, word); },
+                    [this](double chance) { Beat(chance); },
+                    [this] { return zones_ ? std::optional(handlers_.sights()) : std::nullopt; },
+                    [this](int from, const ZoneLoadReport& sights) {
+                      if (zones_) zones_->See(Now(), from, sights);
+                    }});
 }
 
-void PeerService::Heard(int from, Duty duty, const DutyWord& word) {
+void ClusterService::Heard(int from, Duty duty, const DutyWord& word) {
   if (duty == Duty::kList && duty_) duty_->Hear(Now(), from, word);
   if (duty == Duty::kZones && zones_) zones_->Hear(Now(), from, word);
 }
 
-void PeerService::Beat(double chance) {
+void ClusterService::Beat(double chance) {
   if (duty_) duty_->Beat(Now(), chance);
   if (zones_) zones_->Beat(Now(), chance, handlers_.sights());
 }
 
-void PeerService::Close() {
+void ClusterService::Close() {
   link_.reset();
   zones_.reset();
   if (!duty_) return;
@@ -49,7 +49,7 @@
   discovery_.Watch();
 }
 
-void PeerService::ShareList() {
+void ClusterService::ShareList() {
   ListDuty::Times times;
   times.lease.term = peers_->lease;
   times.lease.patience = 2 * peers_->beat;
@@ -67,7 +67,7 @@
                                    [this](bool on) { on ? discovery_.Watch() : discovery_.Rest(); }});
 }
 
-void PeerService::ShareZones() {
+void ClusterService::ShareZones() {
   ZoneDuty::Times times;
   times.lease.term = peers_->lease;
   times.lease.patience = 2 * peers_->beat;
@@ -81,28 +81,28 @@
                                     handlers_.agreed});
 }
 
-void PeerService::Watch() {
+void ClusterService::Watch() {
   if (!duty_ || duty_->watches()) discovery_.Watch();
 }
 
-void PeerService::Told(const HostList& list) {
+void ClusterService::Told(const HostList& list) {
   if (duty_) duty_->Told(Now(), list);
 }
 
-void PeerService::Failed() {
+void ClusterService::Failed() {
   if (duty_) duty_->Failed(Now());
 }
 
-void PeerService::Moving(const boost::asio::ip::tcp::endpoint& address) {
+void ClusterService::Moving(const boost::asio::ip::tcp::endpoint& address) {
   if (duty_ && address != discovery_.address()) duty_->Moved(Now());
 }
 
-void PeerService::Stopping() {
+void ClusterService::Stopping() {
   if (duty_) duty_->Stopping(Now());
   if (zones_) zones_->Stopping();
 }
 
-std::optional<std::string> PeerService::Status(const Policy::Stats& census) const {
+std::optional<std::string> ClusterService::Status(const Policy::Stats& census) const {
   if (!link_) return std::nullopt;
   nlohmann::json status = link_->Status();
   status["shared_among"] = census.active_gateways;
--- a/src/app/peer_service.hpp
+++ b/src/app/cluster_service.hpp
@@ -1,6 +1,6 @@
 // A gateway's side of its peers: the link to them, and its part in the duties that are shared.
-#ifndef MEADOWYARD_APP_PEER_SERVICE_HPP_
-#define MEADOWYARD_APP_PEER_SERVICE_HPP_
+#ifndef MEADOWYARD_APP_CLUSTER_SERVICE_HPP_
+#define MEADOWYARD_APP_CLUSTER_SERVICE_HPP_
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -11,11 +11,11 @@
 #include "duties/list_duty.hpp"
 #include "duties/zone_duty.hpp"
 #include "meadowyard/policy.hpp"
-#include "peers/peer_link.hpp"
+#include "membership/peer_transport.hpp"
 
 namespace meadowyard {
 
-class PeerService {
+class ClusterService {
  public:
   struct Handlers {
     std::function<Gossip()> gossip;
@@ -26,10 +26,10 @@
     std::function<void(const ZoneAgreement&)> agreed;
   };
   // Without a file there are no peers.
-  PeerService(boost::asio::io_context& io, Discovery& discovery, Handlers handlers);
+  ClusterService(boost::asio::io_context& io, Discovery& discovery, Handlers handlers);
 
   // From now on by this file.
-  void Know(PeersConfig peers);
+  void Know(membership::PeersConfig peers);
   // Another process has the link meanwhile; without it each asks discovery for itself.
   void Close();
   void Open();
@@ -53,12 +53,12 @@
   boost::asio::io_context& io_;
   Discovery& discovery_;
   const Handlers handlers_;
-  std::optional<PeersConfig> peers_;
+  std::optional<membership::PeersConfig> peers_;
   std::optional<ListDuty> duty_;
   std::optional<ZoneDuty> zones_;
-  std::optional<PeerLink> link_;
+  std::optional<membership::PeerLink> link_;
 };
 
 }  // namespace meadowyard
 
-#endif  // MEADOWYARD_APP_PEER_SERVICE_HPP_
+#endif  // MEADOWYARD_APP_CLUSTER_SERVICE_HPP_
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -8,7 +8,7 @@
 #include "config/config.hpp"
 #include "edge/edge_config.hpp"
 #include "log/log.hpp"
-#include "peers/peers_config.hpp"
+#include "membership/peers_config.hpp"
 
 namespace {
 
@@ -58,8 +58,8 @@
   try {
     meadowyard::StartLog(form == "json" ? meadowyard::LogForm::kJson : meadowyard::LogForm::kText, level);
     if (explain->parsed()) return Explain(edge, destination);
-    if (check->parsed() && file.ends_with(".toml") && meadowyard::IsPeersFile(file)) {
-      meadowyard::LoadPeers(file, std::nullopt);
+    if (check->parsed() && file.ends_with(".toml") && meadowyard::membership::IsPeersFile(file)) {
+      meadowyard::membership::LoadPeers(file, std::nullopt);
       std::printf("%s: good\n", file.c_str());
       return 0;
     }
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -88,7 +88,7 @@
   Service service(io, config, std::move(inheritance), state, ConfigureEdge(edge, state));
   const auto load_peers = [&peers, &config] {
     const char* const name = Variable("NODE_NAME");
-    return LoadPeers(peers, name != nullptr ? name : config.file->value("name", ""));
+    return membership::LoadPeers(peers, name != nullptr ? name : config.file->value("name", ""));
   };
   if (!peers.empty()) service.KnowPeers(load_peers());
   LiveSettings settings(VariableAtReload, config,
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -151,7 +151,7 @@
   return ToText(state);
 }
 
-void Service::KnowPeers(PeersConfig peers) {
+void Service::KnowPeers(membership::PeersConfig peers) {
   subset_ = peers.subset;
   locality_ = peers.locality;
   peers_.Know(std::move(peers));
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -12,9 +12,9 @@
 #include <optional>
 #include <string>
 
+#include "app/cluster_service.hpp"
 #include "app/edge_service.hpp"
 #include "app/pause_watch.hpp"
-#include "app/peer_service.hpp"
 #include "config/config.hpp"
 #include "core/budget.hpp"
 #include "core/gateway.hpp"
@@ -49,7 +49,7 @@
   // The same of the operators' file: all of it, or, with a throw that says why, nothing.
   void ReloadEdge(std::shared_ptr<const EdgeConfig> edge);
   // What gateways in front of the same hosts tell each other, from now on by this file.
-  void KnowPeers(PeersConfig peers);
+  void KnowPeers(membership::PeersConfig peers);
   EdgeService& edge() { return edge_.value(); }  // throws std::bad_optional_access without a file
   // A changed configuration was turned down.
   void KeptSettings() { core_.figures().Configured(false); }
@@ -103,7 +103,7 @@
   SplitUpstream upstream_;
   Gateway core_;
   Discovery discovery_;
-  PeerService peers_;
+  ClusterService peers_;
   std::map<std::string, Host> list_;  // as discovery told it
   bool listed_ = false;               // some list of hosts is known
   bool stopping_ = false;
--- a/src/peers/beat.cpp
+++ b/src/membership/heartbeat.cpp
@@ -1,11 +1,11 @@
-#include "peers/beat.hpp"
+#include "membership/heartbeat.hpp"
 
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
 #include "duties/words.hpp"
 
-namespace meadowyard {
+namespace meadowyard::membership {
 namespace {
 
 using nlohmann::json;
@@ -103,4 +103,4 @@
   }
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::membership
--- a/src/peers/beat.hpp
+++ b/src/membership/heartbeat.hpp
@@ -1,7 +1,7 @@
 // What one gateway tells another, again and again, and its form on the way: CBOR (RFC 8949), a map of short
 // names. A reader passes over names it does not know.
-#ifndef MEADOWYARD_PEERS_BEAT_HPP_
-#define MEADOWYARD_PEERS_BEAT_HPP_
+#ifndef MEADOWYARD_MEMBERSHIP_HEARTBEAT_HPP_
+#define MEADOWYARD_MEMBERSHIP_HEARTBEAT_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 #include "meadowyard/policy.hpp"
 
-namespace meadowyard {
+namespace meadowyard::membership {
 
 constexpr std::size_t kMostBeat = 8192;  // bytes
 
@@ -39,6 +39,6 @@
 // Nothing if any part of it is not what it should be.
 std::optional<Beat> ParseBeat(const std::uint8_t* bytes, std::size_t size);
 
-}  // namespace meadowyard
+}  // namespace meadowyard::membership
 
-#endif  // MEADOWYARD_PEERS_BEAT_HPP_
+#endif  // MEADOWYARD_MEMBERSHIP_HEARTBEAT_HPP_
--- a/src/peers/peer_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -1,4 +1,4 @@
-#include "peers/peer_view.hpp"
+#include "membership/membership_view.hpp"
 
 #include <algorithm>
 #include <functional>
@@ -6,7 +6,7 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-namespace meadowyard {
+namespace meadowyard::membership {
 namespace {
 
 constexpr std::size_t kSentKept = 64;
@@ -111,4 +111,4 @@
   return look;
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::membership
--- a/src/peers/peer_view.hpp
+++ b/src/membership/membership_view.hpp
@@ -1,16 +1,16 @@
 // Who of the listed gateways is there, as one of them sees it: a state machine without I/O. Times are
 // milliseconds on that gateway's own clock.
-#ifndef MEADOWYARD_PEERS_PEER_VIEW_HPP_
-#define MEADOWYARD_PEERS_PEER_VIEW_HPP_
+#ifndef MEADOWYARD_MEMBERSHIP_MEMBERSHIP_VIEW_HPP_
+#define MEADOWYARD_MEMBERSHIP_MEMBERSHIP_VIEW_HPP_
 
 #include <cstdint>
 #include <deque>
 #include <string>
 #include <vector>
 
-#include "peers/beat.hpp"
+#include "membership/heartbeat.hpp"
 
-namespace meadowyard {
+namespace meadowyard::membership {
 
 constexpr Millis kNeverHeard = -1e15;
 
@@ -56,6 +56,6 @@
   std::vector<Peer> peers_;
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::membership
 
-#endif  // MEADOWYARD_PEERS_PEER_VIEW_HPP_
+#endif  // MEADOWYARD_MEMBERSHIP_MEMBERSHIP_VIEW_HPP_
--- a/src/peers/peer_link.cpp
+++ b/src/membership/peer_transport.cpp
@@ -1,4 +1,4 @@
-#include "peers/peer_link.hpp"
+#include "membership/peer_transport.hpp"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -8,7 +8,7 @@
 #include "core/clock.hpp"
 #include "log/log.hpp"
 
-namespace meadowyard {
+namespace meadowyard::membership {
 namespace {
 
 namespace asio = boost::asio;
@@ -151,4 +151,4 @@
           {"peers", std::move(peers)}};
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::membership
--- a/src/peers/peer_link.hpp
+++ b/src/membership/peer_transport.hpp
@@ -1,6 +1,6 @@
 // The gateway's words to its peers and theirs to it, over UDP: one socket, one timer.
-#ifndef MEADOWYARD_PEERS_PEER_LINK_HPP_
-#define MEADOWYARD_PEERS_PEER_LINK_HPP_
+#ifndef MEADOWYARD_MEMBERSHIP_PEER_TRANSPORT_HPP_
+#define MEADOWYARD_MEMBERSHIP_PEER_TRANSPORT_HPP_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -12,10 +12,10 @@
 #include <random>
 
 #include "duties/words.hpp"
-#include "peers/peer_view.hpp"
-#include "peers/peers_config.hpp"
+#include "membership/membership_view.hpp"
+#include "membership/peers_config.hpp"
 
-namespace meadowyard {
+namespace meadowyard::membership {
 
 class PeerLink {
  public:
@@ -55,6 +55,6 @@
   bool told_taken_ = false;
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::membership
 
-#endif  // MEADOWYARD_PEERS_PEER_LINK_HPP_
+#endif  // MEADOWYARD_MEMBERSHIP_PEER_TRANSPORT_HPP_
--- a/src/peers/peers_config.cpp
+++ b/src/membership/peers_config.cpp
@@ -1,4 +1,4 @@
-#include "peers/peers_config.hpp"
+#include "membership/peers_config.hpp"
 
 #include <algorithm>
 #include <fstream>
@@ -6,7 +6,7 @@
 
 #include "edge/table_reader.hpp"
 
-namespace meadowyard {
+namespace meadowyard::membership {
 namespace {
 
 constexpr std::size_t kMostPeers = 128;  // each hears all others: the work grows with their square
@@ -102,4 +102,4 @@
   return ParsePeers(path, text.str(), name);
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::membership
--- a/src/peers/peers_config.hpp
+++ b/src/membership/peers_config.hpp
@@ -1,7 +1,7 @@
 // The operators' file of the gateways that stand in front of the same hosts: who they are, and how many hosts
 // each uses. The same file serves all of them. docs/peers.md explains each key.
-#ifndef MEADOWYARD_PEERS_PEERS_CONFIG_HPP_
-#define MEADOWYARD_PEERS_PEERS_CONFIG_HPP_
+#ifndef MEADOWYARD_MEMBERSHIP_PEERS_CONFIG_HPP_
+#define MEADOWYARD_MEMBERSHIP_PEERS_CONFIG_HPP_
 
 #include <boost/asio/ip/udp.hpp>
 #include <cstddef>
@@ -12,7 +12,7 @@
 #include "duties/zone_judge.hpp"
 #include "meadowyard/policy.hpp"
 
-namespace meadowyard {
+namespace meadowyard::membership {
 
 struct PeerAddress {
   std::string name;
@@ -42,6 +42,6 @@
 // Whether a file is of this sort: it has [peers] or [[peer]].
 bool IsPeersFile(const std::string& path);
 
-}  // namespace meadowyard
+}  // namespace meadowyard::membership
 
-#endif  // MEADOWYARD_PEERS_PEERS_CONFIG_HPP_
+#endif  // MEADOWYARD_MEMBERSHIP_PEERS_CONFIG_HPP_
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -10,12 +10,18 @@
 #include "decision/subset_assignment.hpp"
 #include "edge/edge_config.hpp"
 #include "gateway.hpp"
-#include "peers/peer_view.hpp"
-#include "peers/peers_config.hpp"
+#include "membership/membership_view.hpp"
+#include "membership/peers_config.hpp"
 
 namespace meadowyard::testing {
 namespace {
 
+using membership::Beat;
+using membership::ParseBeat;
+using membership::ParsePeers;
+using membership::PeersConfig;
+using membership::PeerView;
+
 std::vector<decision::SubsetAssignment::Candidate> Hosts(std::size_t n, std::uint64_t seed) {
   std::mt19937_64 random(seed);
   std::vector<decision::SubsetAssignment::Candidate> items(n);
--- a/tests/membership/characterization_test.cpp
+++ b/tests/membership/characterization_test.cpp
@@ -11,12 +11,15 @@
 #include <utility>
 #include <vector>
 
-#include "peers/beat.hpp"
-#include "peers/peer_view.hpp"
+#include "membership/heartbeat.hpp"
+#include "membership/membership_view.hpp"
 
 namespace meadowyard::testing {
 namespace {
 
+using membership::Beat;
+using membership::PeerView;
+
 // What a scenario lets happen, beside heartbeats and time passing.
 struct Scenario {
   const char* name = "";
--- a/tests/membership/fixture_test.cpp
+++ b/tests/membership/fixture_test.cpp
@@ -18,12 +18,18 @@
 
 #include "edge/edge_config.hpp"
 #include "membership/characterization.hpp"
-#include "peers/beat.hpp"
-#include "peers/peers_config.hpp"
+#include "membership/heartbeat.hpp"
+#include "membership/peers_config.hpp"
 
 namespace meadowyard::testing {
 namespace {
 
+using membership::Beat;
+using membership::ParseBeat;
+using membership::ParsePeers;
+using membership::PeerAddress;
+using membership::PeersConfig;
+
 using Bytes = std::vector<std::uint8_t>;
 
 std::string ReadFixture(const std::string& name) {
@@ -118,7 +124,7 @@
 
 TEST(HeartbeatFixture, IsWrittenWithTheSameBytes) {
   for (const HeartbeatFixture& fixture : HeartbeatFixtures()) {
-    const Bytes bytes = meadowyard::ToBytes(fixture.heartbeat);
+    const Bytes bytes = membership::ToBytes(fixture.heartbeat);
     WriteIfAsked(fixture.file, ToText(bytes));
     EXPECT_EQ(bytes, ToBytes(ReadFixture(fixture.file))) << fixture.file;
   }
@@ -130,7 +136,7 @@
     const auto heartbeat = ParseBeat(bytes.data(), bytes.size());
     ASSERT_TRUE(heartbeat) << fixture.file;
     ExpectSame(*heartbeat, fixture.heartbeat);
-    EXPECT_EQ(meadowyard::ToBytes(*heartbeat), bytes) << fixture.file;
+    EXPECT_EQ(membership::ToBytes(*heartbeat), bytes) << fixture.file;
   }
 }
 
@@ -138,7 +144,7 @@
 void AddParsed(Digest& digest, const Bytes& datagram) {
   const auto heartbeat = ParseBeat(datagram.data(), datagram.size());
   digest.Add(heartbeat.has_value());
-  if (heartbeat) digest.Add(meadowyard::ToBytes(*heartbeat));
+  if (heartbeat) digest.Add(membership::ToBytes(*heartbeat));
 }
 
 constexpr std::uint64_t kSeeds[] = {1, 2, 3};
@@ -148,7 +154,7 @@
     SplitMix64 random(seed);
     Digest digest;
     for (int i = 0; i < 4000; ++i) {
-      Bytes datagram = meadowyard::ToBytes(HeartbeatFixtures()[random.Below(3)].heartbeat);
+      Bytes datagram = membership::ToBytes(HeartbeatFixtures()[random.Below(3)].heartbeat);
       for (std::size_t changes = random.Below(4); changes > 0; --changes) {
         datagram[random.Below(datagram.size())] = static_cast<std::uint8_t>(random.Next());
       }
@@ -209,7 +215,7 @@
     Digest digest;
     for (int i = 0; i < 3000; ++i) {
       auto message =
-          nlohmann::json::from_cbor(meadowyard::ToBytes(HeartbeatFixtures()[random.Below(3)].heartbeat));
+          nlohmann::json::from_cbor(membership::ToBytes(HeartbeatFixtures()[random.Below(3)].heartbeat));
       for (std::size_t changes = 1 + random.Below(2); changes > 0; --changes) {
         const std::string& key = keys[random.Below(keys.size())];
         if (random.Chance(0.2)) {
