--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -7,7 +7,7 @@
 #include <set>
 #include <vector>
 
-#include "simwire/wire.hpp"
+#include "simulator/simulator_session.hpp"
 
 namespace meadowyard {
 namespace {
--- a/src/simwire/simhost_main.cpp
+++ b/src/simulator/simulator_main.cpp
@@ -1,4 +1,4 @@
-// meadowyard_simhost: hosts Policies on the simulator's wire, standard input to standard output.
+// meadowyard_simulator_adapter: hosts Policies on the simulator's wire, standard input to standard output.
 #include <unistd.h>
 
 #include <cerrno>
@@ -6,7 +6,7 @@
 #include <string>
 #include <string_view>
 
-#include "simwire/wire.hpp"
+#include "simulator/simulator_session.hpp"
 
 namespace {
 
@@ -31,7 +31,7 @@
     const ssize_t got = read(STDIN_FILENO, chunk.data(), chunk.size());
     if (got < 0 && errno == EINTR) continue;
     if (got < 0) {
-      std::perror("meadowyard_simhost: standard input");
+      std::perror("meadowyard_simulator_adapter: standard input");
       return 1;
     }
     if (got == 0) break;
@@ -42,7 +42,7 @@
       try {
         host.Line(std::string_view(pending).substr(start, end - start));
       } catch (const std::exception& error) {
-        std::fprintf(stderr, "meadowyard_simhost: line %llu: %s\n", line_number, error.what());
+        std::fprintf(stderr, "meadowyard_simulator_adapter: line %llu: %s\n", line_number, error.what());
         return 1;
       }
       if (const std::string reply = host.TakeReply(); !reply.empty() && !WriteAll(reply)) return 1;
@@ -50,11 +50,11 @@
     pending.erase(0, start);
   }
   if (!pending.empty()) {
-    std::fprintf(stderr, "meadowyard_simhost: line %llu: input ends inside a line\n", line_number + 1);
+    std::fprintf(stderr, "meadowyard_simulator_adapter: line %llu: input ends inside a line\n", line_number + 1);
     return 1;
   }
   if (host.InBatch()) {
-    std::fprintf(stderr, "meadowyard_simhost: line %llu: input ends inside a batch\n", line_number);
+    std::fprintf(stderr, "meadowyard_simulator_adapter: line %llu: input ends inside a batch\n", line_number);
     return 1;
   }
   return 0;
--- a/src/simwire/wire.cpp
+++ b/src/simulator/simulator_session.cpp
@@ -1,4 +1,4 @@
-#include "simwire/wire.hpp"
+#include "simulator/simulator_session.hpp"
 
 #include <charconv>
 #include <cmath>
--- a/tests/wire_test.cpp
+++ b/tests/simulator/simulator_session_test.cpp
@@ -1,5 +1,5 @@
 // The dialect: what is read, what is printed, and what is said of malformed lines.
-#include "simwire/wire.hpp"
+#include "simulator/simulator_session.hpp"
 
 #include <gtest/gtest.h>
 
