--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -7,7 +7,7 @@
 #include <set>
 #include <vector>
 
-#include "simulator/simulator_session.hpp"
+#include "simulator/settings_parser.hpp"
 
 namespace meadowyard {
 namespace {
@@ -42,7 +42,7 @@
   std::vector<std::string> pairs;
   Flatten(file["settings"], "", pairs);
   try {
-    return wire::ParseSettings({pairs.begin(), pairs.end()});
+    return simulator::ParseSettings({pairs.begin(), pairs.end()});
   } catch (const std::exception& error) {  // its text names the field
     throw ConfigError(std::string("settings: ") + error.what());
   }
--- a/src/simulator/simulator_main.cpp
+++ b/src/simulator/simulator_main.cpp
@@ -1,8 +1,12 @@
-// meadowyard_simulator_adapter: hosts Policies on the simulator's wire, standard input to standard output.
+/// @file
+/// meadowyard_simulator_adapter: the decision module on the simulator's wire, from standard input to standard
+/// output. Exit status 1, and one line on standard error, if the input is malformed.
 #include <unistd.h>
 
 #include <cerrno>
+#include <cstddef>
 #include <cstdio>
+#include <exception>
 #include <string>
 #include <string_view>
 
@@ -10,6 +14,9 @@
 
 namespace {
 
+constexpr const char* kProgram = "meadowyard_simulator_adapter";
+constexpr std::size_t kChunkSize = 1 << 16;  // bytes
+
 bool WriteAll(std::string_view text) {
   while (!text.empty()) {
     const ssize_t written = write(STDOUT_FILENO, text.data(), text.size());
@@ -20,42 +27,69 @@
   return true;
 }
 
-}  // namespace
-
-int main() {
-  meadowyard::wire::Host host;
-  std::string pending;
-  std::string chunk(1 << 16, '\0');
-  unsigned long long line_number = 0;
-  for (;;) {
-    const ssize_t got = read(STDIN_FILENO, chunk.data(), chunk.size());
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) {
-      std::perror("meadowyard_simulator_adapter: standard input");
-      return 1;
-    }
-    if (got == 0) break;
-    pending.append(chunk, 0, static_cast<std::size_t>(got));
-    std::size_t start = 0;
-    for (std::size_t end; (end = pending.find('\n', start)) != std::string::npos; start = end + 1) {
-      ++line_number;
-      try {
-        host.Line(std::string_view(pending).substr(start, end - start));
-      } catch (const std::exception& error) {
-        std::fprintf(stderr, "meadowyard_simulator_adapter: line %llu: %s\n", line_number, error.what());
+// Reads standard input in lines and answers them.
+class LineLoop {
+ public:
+  // Returns the exit status.
+  int Run() {
+    std::string chunk(kChunkSize, '\0');
+    for (;;) {
+      const ssize_t size = read(STDIN_FILENO, chunk.data(), chunk.size());
+      if (size < 0 && errno == EINTR) continue;
+      if (size < 0) {
+        std::perror("meadowyard_simulator_adapter: standard input");
         return 1;
       }
-      if (const std::string reply = host.TakeReply(); !reply.empty() && !WriteAll(reply)) return 1;
+      if (size == 0) return Finish();
+      pending_.append(chunk, 0, static_cast<std::size_t>(size));
+      if (!ConsumeLines()) return 1;
     }
-    pending.erase(0, start);
   }
-  if (!pending.empty()) {
-    std::fprintf(stderr, "meadowyard_simulator_adapter: line %llu: input ends inside a line\n", line_number + 1);
-    return 1;
+
+ private:
+  bool ConsumeLines() {
+    std::size_t start = 0;
+    for (std::size_t end = pending_.find('\n'); end != std::string::npos; end = pending_.find('\n', start)) {
+      ++line_number_;
+      if (!ConsumeLine(std::string_view(pending_).substr(start, end - start))) return false;
+      start = end + 1;
+    }
+    pending_.erase(0, start);
+    return true;
   }
-  if (host.InBatch()) {
-    std::fprintf(stderr, "meadowyard_simulator_adapter: line %llu: input ends inside a batch\n", line_number);
-    return 1;
+
+  bool ConsumeLine(std::string_view line) {
+    try {
+      session_.ConsumeLine(line);
+    } catch (const std::exception& error) {
+      Report(line_number_, error.what());
+      return false;
+    }
+    const std::string reply = session_.TakeReply();
+    return reply.empty() || WriteAll(reply);
   }
-  return 0;
-}
+
+  int Finish() {
+    if (!pending_.empty()) {
+      Report(line_number_ + 1, "input ends inside a line");
+      return 1;
+    }
+    if (session_.IsInBatch()) {
+      Report(line_number_, "input ends inside a batch");
+      return 1;
+    }
+    return 0;
+  }
+
+  static void Report(unsigned long long line_number, const char* problem) {
+    std::fprintf(stderr, "%s: line %llu: %s\n", kProgram, line_number, problem);
+  }
+
+  meadowyard::simulator::SimulatorSession session_;
+  std::string pending_;  // input that is no complete line yet
+  unsigned long long line_number_ = 0;
+};
+
+}  // namespace
+
+int main() { return LineLoop().Run(); }
--- /dev/null
+++ b/src/simulator/simulator_protocol.hpp
@@ -0,0 +1,78 @@
+/// @file
+/// The text protocol of the simulator: lines of words that are separated by one space; "-" stands for a value
+/// that is absent.
+#ifndef MEADOWYARD_SIMULATOR_SIMULATOR_PROTOCOL_HPP_
+#define MEADOWYARD_SIMULATOR_SIMULATOR_PROTOCOL_HPP_
+
+#include <charconv>
+#include <cmath>
+#include <cstddef>
+#include <string>
+#include <string_view>
+#include <system_error>
+#include <type_traits>
+#include <vector>
+
+#include "meadowyard/error.hpp"
+#include "meadowyard/policy.hpp"
+
+namespace meadowyard::simulator {
+
+/// The words of a line, the parts of a key, the items of a list. Views into the text.
+using Words = std::vector<std::string_view>;
+
+/// A line that breaks the protocol; the text names the fault.
+class SimulatorProtocolError : public ProtocolError {
+ public:
+  using ProtocolError::ProtocolError;
+};
+
+/// Splits a text; `words` is cleared first.
+void Split(std::string_view text, char separator, Words& words);
+
+/// The word at `index`, or empty where it is absent or the line ends before it.
+std::string_view OptionalWord(const Words& words, std::size_t index);
+/// The same of a word that has to be there. Throws SimulatorProtocolError naming `what`.
+std::string_view RequiredWord(const Words& words, std::size_t index, const char* what);
+
+/// Throws SimulatorProtocolError naming `what`.
+bool ParseFlag(std::string_view text, const char* what);
+
+/// The number that a text consists of. Throws SimulatorProtocolError naming `what`.
+template <typename Number>
+Number ParseNumber(std::string_view text, const char* what) {
+  Number value{};
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  bool is_valid = error == std::errc() && end == text.data() + text.size();
+  if constexpr (std::is_floating_point_v<Number>) is_valid = is_valid && std::isfinite(value);
+  if (!is_valid) {
+    throw SimulatorProtocolError(std::string(what) + " is not a number: '" + std::string(text) + "'");
+  }
+  return value;
+}
+
+/// The number at `index`, or `otherwise` where it is absent.
+template <typename Number>
+Number OptionalNumber(const Words& words, std::size_t index, const char* what, Number otherwise) {
+  const std::string_view text = OptionalWord(words, index);
+  return text.empty() ? otherwise : ParseNumber<Number>(text, what);
+}
+
+template <typename Number>
+Number RequiredNumber(const Words& words, std::size_t index, const char* what) {
+  return ParseNumber<Number>(RequiredWord(words, index, what), what);
+}
+
+/// An ENTRY line: one endpoint of a list.
+Endpoint ParseEndpoint(const Words& words);
+/// The result code of an attempt.
+AttemptResult ParseResult(std::string_view code);
+/// A load report; values that are absent are not a number.
+std::vector<double> ParseLoad(std::string_view text);
+
+/// Appends an action as one line, with its newline.
+void PrintAction(const Action& action, std::string& out);
+
+}  // namespace meadowyard::simulator
+
+#endif  // MEADOWYARD_SIMULATOR_SIMULATOR_PROTOCOL_HPP_
