--- a/src/app/decision_log.cpp
+++ b/src/app/decision_log.cpp
@@ -4,7 +4,7 @@
 
 #include "log/log.hpp"
 
-namespace meadowyard {
+namespace meadowyard::app {
 namespace {
 
 const char* NameOf(Log::Event event) {
@@ -29,4 +29,4 @@
   LogEvent(LogLevel::kInfo, NameOf(entry.event), fields);
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::app
--- a/src/app/decision_log.hpp
+++ b/src/app/decision_log.hpp
@@ -5,11 +5,11 @@
 
 #include "meadowyard/policy.hpp"
 
-namespace meadowyard {
+namespace meadowyard::app {
 
 /// Writes an entry to the program's log, at level info.
 void LogDecision(const Log& entry);
 
-}  // namespace meadowyard
+}  // namespace meadowyard::app
 
 #endif  // MEADOWYARD_APP_DECISION_LOG_HPP_
--- a/src/app/edge_service.cpp
+++ b/src/app/edge_service.cpp
@@ -6,7 +6,7 @@
 #include "app/decision_log.hpp"
 #include "log/log.hpp"
 
-namespace meadowyard {
+namespace meadowyard::app {
 namespace {
 
 // A pool of the file's own has one class, no tenants and nobody else in front of it that is known of.
@@ -197,4 +197,4 @@
   front_.CloseAll("shutdown");
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::app
--- a/src/app/edge_service.hpp
+++ b/src/app/edge_service.hpp
@@ -13,7 +13,7 @@
 #include "fronts/tunnel/tunnel_server.hpp"
 #include "upstream/tunnel_dialer.hpp"
 
-namespace meadowyard {
+namespace meadowyard::app {
 
 class EdgeService {
  public:
@@ -60,6 +60,6 @@
   TunnelServer front_;
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::app
 
 #endif  // MEADOWYARD_APP_EDGE_SERVICE_HPP_
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -76,7 +76,7 @@
       return 0;
     }
     (void)serve;
-    meadowyard::Serve(edge, peers);
+    meadowyard::app::Serve(edge, peers);
     return 0;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "meadowyard: %s\n", error.what());
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <utility>
 
-#include "app/memory_reserve.hpp"
+#include "app/emergency_memory_reserve.hpp"
 #include "app/service.hpp"
 #include "config/config.hpp"
 #include "log/log.hpp"
@@ -19,7 +19,7 @@
 #include "operations/live_settings.hpp"
 #include "operations/state_text.hpp"
 
-namespace meadowyard {
+namespace meadowyard::app {
 namespace {
 
 const char* Variable(const char* name) { return std::getenv(name); }
@@ -78,7 +78,7 @@
   // A log that can't be written to is no reason to end.
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGXFSZ, SIG_IGN);
-  MemoryReserve::Keep();
+  EmergencyMemoryReserve::Install();
   boost::asio::io_context io(1);
   boost::asio::signal_set ends(io, SIGTERM, SIGINT), reloads(io, SIGHUP);
   auto inheritance = AskPredecessor(FindPredecessor());
@@ -143,4 +143,4 @@
   }
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::app
--- a/src/app/serve.hpp
+++ b/src/app/serve.hpp
@@ -4,13 +4,13 @@
 
 #include <string>
 
-namespace meadowyard {
+namespace meadowyard::app {
 
 // Runs until SIGTERM or SIGINT; SIGHUP has it read its configuration again. Throws std::exception, with a
 // text that names what is wrong, if it can't start.
 // `edge`: the operators' file for tunnels; `peers`: theirs of the other gateways; empty: none.
 void Serve(const std::string& edge = "", const std::string& peers = "");
 
-}  // namespace meadowyard
+}  // namespace meadowyard::app
 
 #endif  // MEADOWYARD_APP_SERVE_HPP_
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -5,11 +5,11 @@
 #include <utility>
 
 #include "app/decision_log.hpp"
-#include "app/memory_reserve.hpp"
+#include "app/emergency_memory_reserve.hpp"
 #include "core/clock.hpp"
 #include "log/log.hpp"
 
-namespace meadowyard {
+namespace meadowyard::app {
 namespace {
 
 namespace asio = boost::asio;
@@ -58,10 +58,11 @@
       edge_file_(std::move(edge)),
       others_(state ? state->descriptors : 0),
       budget_(ShareOut(MeansOf(config, edge_file_.get()), others_)),
-      pause_(io, {[this](Millis since) { return discovery_.AskAnew(since); }, [this] { hosts_.Resume(); }}),
+      stall_detector_(
+          io, {[this](Millis since) { return discovery_.AskAnew(since); }, [this] { hosts_.Resume(); }}),
       hosts_(io, {config.dial_timeout, config.idle_timeout, budget_.host_connections},
              {[this](const std::string& host) { return core_.policy().IsEligible(host); },
-              [this] { return pause_.Current(); }}),
+              [this] { return stall_detector_.IsListCurrent(); }}),
       dialer_(io, {config.dial_timeout, 0},
               [this](const std::string& host) { return core_.policy().IsEligible(host); }),
       upstream_(hosts_, dialer_),
@@ -83,7 +84,7 @@
       clients_(io,
                {config.listen, config.admin.has_value(), inheritance ? inheritance->listener.release() : -1},
                LimitsFor(budget_),
-               {[this] { return listed_ && !stopping_; }, &MemoryReserve::Whole,
+               {[this] { return listed_ && !stopping_; }, &EmergencyMemoryReserve::IsAvailable,
                 [this](const std::string& name, Idempotency effect) {
                   // Requests are never of the tunnels' class.
                   if (edge_file_ && name == edge_file_->tunnel.name) return Policy::Admission::kUnknownClass;
@@ -161,7 +162,7 @@
 void Service::ToldByDiscovery(const HostList& list) {
   Told(list);
   peers_.Told(list);
-  pause_.Heard();
+  stall_detector_.OnDiscoveryAnswered();
 }
 
 HostList Service::WholeList() const {
@@ -220,7 +221,7 @@
 }
 
 EdgeService::Fleet Service::FleetForTunnels() {
-  return {&core_, &dialer_, [this] { return listed_ && !stopping_ && MemoryReserve::Whole(); },
+  return {&core_, &dialer_, [this] { return listed_ && !stopping_ && EmergencyMemoryReserve::IsAvailable(); },
           [this](const std::string& host) { return Unusable(host); }};
 }
 
@@ -332,4 +333,4 @@
   });
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::app
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -14,7 +14,7 @@
 
 #include "app/cluster_service.hpp"
 #include "app/edge_service.hpp"
-#include "app/pause_watch.hpp"
+#include "app/stall_detector.hpp"
 #include "config/config.hpp"
 #include "core/budget.hpp"
 #include "core/gateway.hpp"
@@ -26,7 +26,7 @@
 #include "upstream/host_pool.hpp"
 #include "upstream/tunnel_dialer.hpp"
 
-namespace meadowyard {
+namespace meadowyard::app {
 
 class Service {
  public:
@@ -97,7 +97,7 @@
   int subset_ = 0;  // hosts that each gateway uses
   ZoneRoutingSettings locality_;
   Budget budget_;
-  PauseWatch pause_;
+  StallDetector stall_detector_;
   HostPool hosts_;
   TunnelDialer dialer_;
   SplitUpstream upstream_;
@@ -115,6 +115,6 @@
   std::optional<Succession> succession_;
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::app
 
 #endif  // MEADOWYARD_APP_SERVICE_HPP_
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -90,7 +90,7 @@
   std::vector<std::unique_ptr<Peer>> hosts;
   nlohmann::json news;
   meadowyard::Config config;
-  std::optional<meadowyard::Service> gateway;
+  std::optional<meadowyard::app::Service> gateway;
 };
 
 }  // namespace meadowyard::testing
