--- a/src/membership/heartbeat.hpp
+++ b/src/membership/heartbeat.hpp
@@ -1,9 +1,8 @@
-// What one gateway tells another, again and again, and its form on the way: CBOR (RFC 8949), a map of short
-// names. A reader passes over names it does not know.
+/// @file
+/// What one gateway sends each other gateway at every heartbeat interval.
 #ifndef MEADOWYARD_MEMBERSHIP_HEARTBEAT_HPP_
 #define MEADOWYARD_MEMBERSHIP_HEARTBEAT_HPP_
 
-#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -13,31 +12,30 @@
 
 namespace meadowyard::membership {
 
-constexpr std::size_t kMostBeat = 8192;  // bytes
-
-struct Beat {
-  std::string from;
-  std::uint64_t life = 0;    // drawn at its start
-  std::uint64_t number = 0;  // counts up within a life
-  std::uint64_t list = 0;    // hash of the names in its list
-  int listed = 0;            // gateways that its list names, or that it has heard of
-  struct Echo {
-    std::string name;
-    std::uint64_t life = 0, number = 0;
+/// One heartbeat. Times in it are ages, for each gateway has a clock of its own.
+struct Heartbeat {
+  /// The last heartbeat that the sender received from another gateway.
+  struct Acknowledgement {
+    std::string member;
+    std::uint64_t incarnation = 0;
+    std::uint64_t sequence = 0;
   };
-  std::vector<Echo> hears;  // whom it has heard lately, and their last word
-  struct Start {
-    std::string server;
-    Millis age = 0;  // ages cross, not times: each has a clock of its own
+  /// A recent start of an endpoint, as service discovery reported it to the sender.
+  struct EndpointStart {
+    std::string endpoint;
+    Millis age = 0;  ///< Time since the start.
   };
-  std::vector<Start> started;
-  std::vector<std::string> recovered;
-  std::optional<ZoneLoadReport> sights;  // of the zones, where requests go by them
-};
 
-std::vector<std::uint8_t> ToBytes(const Beat& beat);
-// Nothing if any part of it is not what it should be.
-std::optional<Beat> ParseBeat(const std::uint8_t* bytes, std::size_t size);
+  std::string sender;             ///< Name of the gateway in the peers file.
+  std::uint64_t incarnation = 0;  ///< Drawn at random when the sender's process starts.
+  std::uint64_t sequence = 0;     ///< Grows by one with each heartbeat of an incarnation.
+  std::uint64_t list_hash = 0;    ///< Hash of the names in the sender's peers file, in their order.
+  int configured = 0;  ///< Gateways in the sender's peers file, or in a longer one that it knows of.
+  std::vector<Acknowledgement> acknowledgements;  ///< Members that the sender has received from lately.
+  std::vector<EndpointStart> started;
+  std::vector<std::string> recovered;       ///< Endpoints that a health probe has just brought back.
+  std::optional<ZoneLoadReport> zone_load;  ///< Only where requests are routed by zone.
+};
 
 }  // namespace meadowyard::membership
 
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <functional>
+#include <utility>
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -9,106 +10,150 @@
 namespace meadowyard::membership {
 namespace {
 
-constexpr std::size_t kSentKept = 64;
+// Heartbeats whose time of sending is remembered. An acknowledgement of an older one is ignored; at the usual
+// interval and timeouts it would be too old to count anyway.
+constexpr std::size_t kMaxRememberedHeartbeats = 64;
+
+// The rank of `self` among the members that are present, given by their indices in ascending order.
+//
+// With n members present, those among the first n of the peers file have their index as rank, and the others
+// fill the gaps. So a member that becomes absent changes the rank of one other member at the most.
+int RankOf(std::size_t self, const std::vector<std::size_t>& present) {
+  const std::size_t ranks = present.size();
+  if (self < ranks) return static_cast<int>(self);
+  std::vector<bool> taken(ranks, false);
+  for (const std::size_t member : present) {
+    if (member < ranks) taken[member] = true;
+  }
+  std::size_t rank = 0;
+  for (const std::size_t member : present) {
+    if (member < ranks) continue;
+    while (taken[rank]) ++rank;
+    if (member == self) break;
+    ++rank;
+  }
+  return static_cast<int>(rank);
+}
 
 }  // namespace
 
-PeerView::PeerView(std::vector<std::string> names, std::size_t self, Times times, std::uint64_t life,
-                   Millis now)
-    : self_(self), times_(times), life_(life) {
+MembershipView::MembershipView(std::vector<std::string> names, std::size_t self, Timeouts timeouts,
+                               std::uint64_t incarnation, Millis now)
+    : self_(self), timeouts_(timeouts), incarnation_(incarnation) {
   for (std::string& name : names) {
-    list_ = XXH3_64bits_withSeed(name.data(), name.size(), list_ + 1);
-    Peer peer;
-    peer.name = std::move(name);
-    peer.heard_at = kNeverHeard;
-    peer.mutual_at = now - times_.silent;  // there until it counts as gone, but not in touch
-    peers_.push_back(std::move(peer));
+    list_hash_ = XXH3_64bits_withSeed(name.data(), name.size(), list_hash_ + 1);
+    Member member;
+    member.name = std::move(name);
+    member.received_at = kNever;
+    // Present until the dead timeout, but not in contact.
+    member.acknowledged_at = now - timeouts_.suspect_timeout;
+    members_.push_back(std::move(member));
   }
 }
 
-bool PeerView::Hear(Millis now, const Beat& beat) {
-  const auto found =
-      std::find_if(peers_.begin(), peers_.end(), [&](const Peer& p) { return p.name == beat.from; });
-  if (found == peers_.end() || found == peers_.begin() + static_cast<std::ptrdiff_t>(self_))
-    return ++dropped_, false;
-  Peer& p = *found;
-  // Within a life numbers only grow. Another life is believed once the one before has fallen silent: what was
-  // held up on the way must not take the place of what is said now.
-  const bool stale = beat.life == p.life ? beat.number <= p.number : now - p.heard_at < times_.silent;
-  if (p.listed > 0 && stale) return ++dropped_, false;
-  p.life = beat.life, p.number = beat.number, p.list = beat.list, p.listed = beat.listed;
-  p.heard_at = now;
-  const bool touched = now < At(now).in_touch_until;
-  // Touch counts from when the word was said that is answered here, not from when the answer is read: what a
-  // stopped process finds waiting when it goes on is old.
-  for (const Beat::Echo& e : beat.hears) {
-    if (e.name != peers_[self_].name || e.life != life_ || e.number > number_) continue;
-    const std::uint64_t back = number_ - e.number;
-    if (back < sent_.size()) p.mutual_at = std::max(p.mutual_at, sent_[sent_.size() - 1 - back]);
+MembershipView::Member* MembershipView::FindSender(const std::string& name) {
+  const auto found = std::find_if(members_.begin(), members_.end(),
+                                  [&](const Member& member) { return member.name == name; });
+  if (found == members_.end() || &*found == &members_[self_]) return nullptr;
+  return &*found;
+}
+
+bool MembershipView::IsStale(Millis now, const Member& member, const Heartbeat& heartbeat) const {
+  if (member.configured == 0) return false;  // the first that is received
+  if (heartbeat.incarnation == member.incarnation) return heartbeat.sequence <= member.sequence;
+  // Another incarnation is accepted only after the last one has stopped sending: a heartbeat that was delayed
+  // must not take the place of a newer one.
+  return now - member.received_at < timeouts_.suspect_timeout;
+}
+
+bool MembershipView::OnHeartbeat(Millis now, const Heartbeat& heartbeat) {
+  Member* const member = FindSender(heartbeat.sender);
+  if (member == nullptr || IsStale(now, *member, heartbeat)) {
+    ++dropped_;
+    return false;
   }
-  if (!touched && now < At(now).in_touch_until) back_at_ = now;
+  member->incarnation = heartbeat.incarnation;
+  member->sequence = heartbeat.sequence;
+  member->list_hash = heartbeat.list_hash;
+  member->configured = heartbeat.configured;
+  member->received_at = now;
+  const bool had_quorum = now < QuorumUntil(now, ConfiguredCount());
+  TakeAcknowledgements(*member, heartbeat);
+  if (!had_quorum && now < QuorumUntil(now, ConfiguredCount())) quorum_regained_at_ = now;
   return true;
 }
 
-Beat PeerView::Next(Millis now) {
-  Beat beat;
-  beat.from = peers_[self_].name;
-  beat.life = life_;
-  beat.number = ++number_;
-  sent_.push_back(now);
-  if (sent_.size() > kSentKept) sent_.pop_front();
-  beat.list = list_;
-  beat.listed = At(now).listed;
-  for (std::size_t i = 0; i < peers_.size(); ++i) {
-    const Peer& p = peers_[i];
-    if (i != self_ && now - p.heard_at < times_.silent) beat.hears.push_back({p.name, p.life, p.number});
+void MembershipView::TakeAcknowledgements(Member& member, const Heartbeat& heartbeat) {
+  for (const Heartbeat::Acknowledgement& acknowledgement : heartbeat.acknowledgements) {
+    if (acknowledgement.member != members_[self_].name) continue;
+    if (acknowledgement.incarnation != incarnation_ || acknowledgement.sequence > sequence_) continue;
+    const std::uint64_t age = sequence_ - acknowledgement.sequence;
+    if (age >= sent_at_.size()) continue;
+    member.acknowledged_at = std::max(member.acknowledged_at, sent_at_[sent_at_.size() - 1 - age]);
   }
-  return beat;
 }
 
-PeerView::Look PeerView::At(Millis now) const {
-  Look look;
-  // A longer list that some other has read holds here too: its gateways may be there. A shorter one is old.
-  look.listed = static_cast<int>(peers_.size());
-  for (std::size_t i = 0; i < peers_.size(); ++i) {
-    if (i != self_) look.listed = std::max(look.listed, peers_[i].listed);
-  }
-  std::vector<std::size_t> there;
-  std::vector<Millis> mutual;
-  for (std::size_t i = 0; i < peers_.size(); ++i) {
-    if (i != self_) mutual.push_back(peers_[i].mutual_at);
-    // Silence while this one was out of touch says nothing of the others.
-    if (i == self_ || now - std::max(peers_[i].mutual_at, back_at_) < times_.gone) there.push_back(i);
+Heartbeat MembershipView::NextHeartbeat(Millis now) {
+  Heartbeat heartbeat;
+  heartbeat.sender = members_[self_].name;
+  heartbeat.incarnation = incarnation_;
+  heartbeat.sequence = ++sequence_;
+  sent_at_.push_back(now);
+  if (sent_at_.size() > kMaxRememberedHeartbeats) sent_at_.pop_front();
+  heartbeat.list_hash = list_hash_;
+  heartbeat.configured = ConfiguredCount();
+  for (std::size_t i = 0; i < members_.size(); ++i) {
+    const Member& member = members_[i];
+    if (i == self_ || now - member.received_at >= timeouts_.suspect_timeout) continue;
+    heartbeat.acknowledgements.push_back(
+        {.member = member.name, .incarnation = member.incarnation, .sequence = member.sequence});
   }
-  // More than half of all, this one included, that hear it and are heard.
-  const auto needed = static_cast<std::size_t>(look.listed / 2);
-  look.in_touch_until = kNeverHeard;
-  if (needed == 0) {
-    look.in_touch_until = now + times_.silent;  // there is nobody else
-  } else if (mutual.size() >= needed) {
-    const auto last = mutual.begin() + static_cast<std::ptrdiff_t>(needed - 1);
-    std::nth_element(mutual.begin(), last, mutual.end(), std::greater<>());
-    look.in_touch_until = *last + times_.silent;
+  return heartbeat;
+}
+
+// A longer peers file that another member has read holds here too, for its gateways may be running. A shorter
+// one is out of date.
+int MembershipView::ConfiguredCount() const {
+  int configured = static_cast<int>(members_.size());
+  for (std::size_t i = 0; i < members_.size(); ++i) {
+    if (i != self_) configured = std::max(configured, members_[i].configured);
   }
-  // Those whom this list does not name yet count as there.
-  look.present = static_cast<int>(there.size()) + look.listed - static_cast<int>(peers_.size());
-  // Places: whoever stands in front keeps the place that its line has; those behind fill the gaps, so that
-  // one that goes moves one other at the most.
-  const std::size_t places = there.size();
-  std::vector<bool> taken(places, false);
-  for (const std::size_t i : there) {
-    if (i < places) taken[i] = true;
+  return configured;
+}
+
+Millis MembershipView::QuorumUntil(Millis now, int configured) const {
+  const auto others_needed = static_cast<std::size_t>(configured / 2);  // this gateway makes it a majority
+  if (others_needed == 0) return now + timeouts_.suspect_timeout;       // it is the only one
+  std::vector<Millis> acknowledged;
+  for (std::size_t i = 0; i < members_.size(); ++i) {
+    if (i != self_) acknowledged.push_back(members_[i].acknowledged_at);
   }
-  std::size_t gap = 0;
-  for (const std::size_t i : there) {
-    std::size_t place = i;
-    if (i >= places) {
-      while (taken[gap]) ++gap;
-      place = gap++;
-    }
-    if (i == self_) look.place = static_cast<int>(place);
+  if (acknowledged.size() < others_needed) return kNever;
+  const auto last = acknowledged.begin() + static_cast<std::ptrdiff_t>(others_needed - 1);
+  std::nth_element(acknowledged.begin(), last, acknowledged.end(), std::greater<>());
+  return *last + timeouts_.suspect_timeout;
+}
+
+std::vector<std::size_t> MembershipView::PresentMembers(Millis now) const {
+  std::vector<std::size_t> present;
+  for (std::size_t i = 0; i < members_.size(); ++i) {
+    // Silence while this gateway had no quorum says nothing about the others.
+    const Millis contact = std::max(members_[i].acknowledged_at, quorum_regained_at_);
+    if (i == self_ || now - contact < timeouts_.dead_timeout) present.push_back(i);
   }
-  return look;
+  return present;
+}
+
+MembershipView::Snapshot MembershipView::TakeSnapshot(Millis now) const {
+  const std::vector<std::size_t> present = PresentMembers(now);
+  Snapshot snapshot;
+  snapshot.configured = ConfiguredCount();
+  // Gateways of a longer peers file, which this one can't name yet, count as present.
+  snapshot.present =
+      static_cast<int>(present.size()) + snapshot.configured - static_cast<int>(members_.size());
+  snapshot.rank = RankOf(self_, present);
+  snapshot.quorum_until = QuorumUntil(now, snapshot.configured);
+  return snapshot;
 }
 
 }  // namespace meadowyard::membership
--- a/src/membership/peer_transport.cpp
+++ b/src/membership/peer_transport.cpp
@@ -65,9 +65,9 @@
 }
 
 void PeerLink::Got(std::size_t size) {
-  const auto beat = ParseBeat(buffer_.data(), size);
+  const auto beat = DecodeHeartbeat({buffer_.data(), size});
   const auto duty = beat ? std::nullopt : ParseDutyWord(buffer_.data(), size);
-  const std::string from = beat ? beat->from : duty ? duty->from : "";
+  const std::string from = beat ? beat->sender : duty ? duty->from : "";
   const auto peer = std::find_if(config_.all.begin(), config_.all.end(),
                                  [&](const PeerAddress& p) { return p.name == from; });
   if (peer == config_.all.end() || peer->address != from_) {
@@ -79,12 +79,12 @@
     return;
   }
   const Millis now = Now();
-  if (!view_.Hear(now, *beat)) return;
+  if (!view_.OnHeartbeat(now, *beat)) return;
   ++heard_;
-  if (beat->sights) handlers_.seen(static_cast<int>(peer - config_.all.begin()), *beat->sights);
+  if (beat->zone_load) handlers_.seen(static_cast<int>(peer - config_.all.begin()), *beat->zone_load);
   if (beat->started.empty() && beat->recovered.empty()) return;  // the rest can wait for the next beat
   Gossip gossip;
-  for (const Beat::Start& s : beat->started) gossip.started.push_back({s.server, now - s.age});
+  for (const Heartbeat::EndpointStart& s : beat->started) gossip.started.push_back({s.endpoint, now - s.age});
   gossip.recovered = beat->recovered;
   Tell(std::move(gossip));
 }
@@ -98,20 +98,20 @@
 }
 
 void PeerLink::Tell(Gossip gossip) {
-  const PeerView::Look look = view_.At(Now());
-  handlers_.news({look.listed, look.present, look.place, look.in_touch_until, std::move(gossip)});
+  const MembershipView::Snapshot look = view_.TakeSnapshot(Now());
+  handlers_.news({look.configured, look.present, look.rank, look.quorum_until, std::move(gossip)});
 }
 
 void PeerLink::Beats() {
   if (!socket_.is_open()) Open();
   const Millis now = Now();
-  Beat beat = view_.Next(now);
+  Heartbeat beat = view_.NextHeartbeat(now);
   const Gossip gossip = handlers_.gossip();
   for (const Gossip::Start& s : gossip.started)
     beat.started.push_back({s.endpoint, std::max(0.0, now - s.started_at)});
   beat.recovered = gossip.recovered;
-  beat.sights = handlers_.sights();
-  const auto bytes = ToBytes(beat);
+  beat.zone_load = handlers_.sights();
+  const auto bytes = EncodeHeartbeat(beat);
   for (std::size_t i = 0; socket_.is_open() && i < config_.all.size(); ++i) {
     if (i == config_.self) continue;
     error_code ignored;  // what can't be sent is as lost as what gets lost
@@ -128,24 +128,24 @@
 
 nlohmann::json PeerLink::Status() const {
   const Millis now = Now();
-  const PeerView::Look look = view_.At(now);
+  const MembershipView::Snapshot look = view_.TakeSnapshot(now);
   nlohmann::json peers = nlohmann::json::array();
-  for (std::size_t i = 0; i < view_.peers().size(); ++i) {
-    const PeerView::Peer& p = view_.peers()[i];
+  for (std::size_t i = 0; i < view_.members().size(); ++i) {
+    const MembershipView::Member& p = view_.members()[i];
     if (i == config_.self) continue;
     nlohmann::json entry = {{"name", p.name}, {"address", ToText(config_.all[i].address)}};
-    if (p.listed > 0) {
-      entry["heard_ms_ago"] = static_cast<std::int64_t>(now - p.heard_at);
-      entry["hears_this"] = now - p.mutual_at < config_.silent;
-      entry["same_list"] = p.list == view_.list();
+    if (p.configured > 0) {
+      entry["heard_ms_ago"] = static_cast<std::int64_t>(now - p.received_at);
+      entry["hears_this"] = now - p.acknowledged_at < config_.silent;
+      entry["same_list"] = p.list_hash == view_.list_hash();
     }
     peers.push_back(std::move(entry));
   }
   return {{"name", config_.all[config_.self].name},
-          {"listed", look.listed},
+          {"listed", look.configured},
           {"present", look.present},
-          {"place", look.place},
-          {"in_touch", now < look.in_touch_until},
+          {"place", look.rank},
+          {"in_touch", now < look.quorum_until},
           {"subset", config_.subset},
           {"beats", {{"sent", sent_}, {"heard", heard_}, {"old", view_.dropped()}, {"strange", strange_}}},
           {"peers", std::move(peers)}};
--- a/src/membership/peer_transport.hpp
+++ b/src/membership/peer_transport.hpp
@@ -12,6 +12,7 @@
 #include <random>
 
 #include "duties/words.hpp"
+#include "membership/heartbeat_codec.hpp"
 #include "membership/membership_view.hpp"
 #include "membership/peers_config.hpp"
 
@@ -45,11 +46,11 @@
 
   const PeersConfig config_;
   const Handlers handlers_;
-  PeerView view_;
+  MembershipView view_;
   boost::asio::ip::udp::socket socket_;
   boost::asio::steady_timer timer_;
   boost::asio::ip::udp::endpoint from_;
-  std::array<std::uint8_t, kMostBeat> buffer_;
+  std::array<std::uint8_t, kMaxHeartbeatBytes> buffer_;
   std::mt19937_64 random_;
   std::uint64_t sent_ = 0, heard_ = 0, strange_ = 0;
   bool told_taken_ = false;
--- a/tests/membership/characterization_test.cpp
+++ b/tests/membership/characterization_test.cpp
@@ -12,30 +12,31 @@
 #include <vector>
 
 #include "membership/heartbeat.hpp"
+#include "membership/heartbeat_codec.hpp"
 #include "membership/membership_view.hpp"
 
 namespace meadowyard::testing {
 namespace {
 
-using membership::Beat;
-using membership::PeerView;
+using membership::Heartbeat;
+using membership::MembershipView;
 
 // What a scenario lets happen, beside heartbeats and time passing.
 struct Scenario {
   const char* name = "";
   std::size_t gateways = 3;
-  double silent = 1000;        // ms
-  double gone = 3000;          // ms
-  double pause = 20;           // ms between two steps, on average
-  double loss = 0.02;          // share of the heartbeats that are lost
-  double repeats = 0.02;       // share of the deliveries that happen again later
-  bool partitions = false;     // groups of gateways that can't reach each other, changing now and then
-  bool one_way = false;        // single directions that are cut
-  bool pauses = false;         // gateways that stop for a while and then read what lies waiting
-  bool restarts = false;       // gateways that start again, with another incarnation
-  bool growth = false;         // restarts with a longer or shorter list
-  bool forgeries = false;      // heartbeats with altered fields
-  bool clocks_differ = false;  // each gateway's clock has an origin of its own
+  double suspect_timeout = 1000;  // ms
+  double dead_timeout = 3000;     // ms
+  double pause = 20;              // ms between two steps, on average
+  double loss = 0.02;             // share of the heartbeats that are lost
+  double repeats = 0.02;          // share of the deliveries that happen again later
+  bool partitions = false;        // groups of gateways that can't reach each other, changing now and then
+  bool one_way = false;           // single directions that are cut
+  bool pauses = false;            // gateways that stop for a while and then read what lies waiting
+  bool restarts = false;          // gateways that start again, with another incarnation
+  bool growth = false;            // restarts with a longer or shorter list
+  bool forgeries = false;         // heartbeats with altered fields
+  bool clocks_differ = false;     // each gateway's clock has an origin of its own
 };
 
 std::vector<Scenario> Scenarios() {
@@ -51,7 +52,12 @@
       {.name = "growing", .gateways = 6, .pause = 10, .restarts = true, .growth = true},
       {.name = "forged", .gateways = 4, .forgeries = true},
       {.name = "many", .gateways = 12, .pause = 4, .partitions = true, .restarts = true},
-      {.name = "slow_times", .gateways = 5, .silent = 2500, .gone = 2500, .pause = 30, .pauses = true},
+      {.name = "slow_times",
+       .gateways = 5,
+       .suspect_timeout = 2500,
+       .dead_timeout = 2500,
+       .pause = 30,
+       .pauses = true},
       {.name = "everything",
        .gateways = 7,
        .pause = 8,
@@ -84,16 +90,16 @@
       now_ += random_.Between(0, 2 * scenario_.pause);
       if (random_.Chance(0.002)) now_ += random_.Between(100, 5000);
       PlayOne();
-      AddLook(random_.Below(nodes_.size()));
+      AddSnapshot(random_.Below(nodes_.size()));
     }
-    for (std::size_t i = 0; i < nodes_.size(); ++i) AddPeers(i);
+    for (std::size_t i = 0; i < nodes_.size(); ++i) AddMembers(i);
     return digest_;
   }
 
  private:
   struct Node {
-    std::unique_ptr<PeerView> view;
-    std::vector<Beat> inbox;
+    std::unique_ptr<MembershipView> view;
+    std::vector<Heartbeat> inbox;
     double clock_offset = 0;
     double stopped_until = 0;
     std::size_t list_length = 0;
@@ -106,10 +112,11 @@
     Node& started = nodes_[node];
     std::vector<std::string> list(names_.begin(),
                                   names_.begin() + static_cast<std::ptrdiff_t>(started.list_length));
-    PeerView::Times times;
-    times.silent = scenario_.silent;
-    times.gone = scenario_.gone;
-    started.view = std::make_unique<PeerView>(std::move(list), node, times, random_.Next(), Clock(node));
+    MembershipView::Timeouts timeouts;
+    timeouts.suspect_timeout = scenario_.suspect_timeout;
+    timeouts.dead_timeout = scenario_.dead_timeout;
+    started.view =
+        std::make_unique<MembershipView>(std::move(list), node, timeouts, random_.Next(), Clock(node));
     started.inbox.clear();
   }
 
@@ -128,12 +135,12 @@
 
   void SendFrom(std::size_t from) {
     if (now_ < nodes_[from].stopped_until) return;
-    const Beat beat = nodes_[from].view->Next(Clock(from));
-    digest_.Add(ToBytes(beat));
+    const Heartbeat heartbeat = nodes_[from].view->NextHeartbeat(Clock(from));
+    digest_.Add(EncodeHeartbeat(heartbeat));
     for (std::size_t to = 0; to < nodes_.size(); ++to) {
       if (to == from || nodes_[to].group != nodes_[from].group) continue;
       if (from == cut_from_ && to == cut_to_) continue;
-      if (!random_.Chance(scenario_.loss)) nodes_[to].inbox.push_back(beat);
+      if (!random_.Chance(scenario_.loss)) nodes_[to].inbox.push_back(heartbeat);
     }
   }
 
@@ -143,17 +150,17 @@
     if (now_ < node.stopped_until) return;
     for (std::size_t left = node.inbox.size(); left > 0; --left) {
       const std::size_t index = random_.Chance(0.9) ? 0 : random_.Below(node.inbox.size());
-      const Beat beat = node.inbox[index];
+      const Heartbeat heartbeat = node.inbox[index];
       if (!random_.Chance(scenario_.repeats)) {
         node.inbox.erase(node.inbox.begin() + static_cast<std::ptrdiff_t>(index));
       }
-      Hear(to, beat);
+      Receive(to, heartbeat);
       if (random_.Chance(0.1)) return;
     }
   }
 
-  void Hear(std::size_t to, const Beat& beat) {
-    digest_.Add(nodes_[to].view->Hear(Clock(to), beat));
+  void Receive(std::size_t to, const Heartbeat& heartbeat) {
+    digest_.Add(nodes_[to].view->OnHeartbeat(Clock(to), heartbeat));
     digest_.Add(nodes_[to].view->dropped());
   }
 
@@ -178,38 +185,39 @@
 
   // A heartbeat that no view has sent: the next one of some gateway with one field altered.
   void Forge(std::size_t to) {
-    Beat beat = nodes_[random_.Below(nodes_.size())].view->Next(Clock(to));
+    Heartbeat heartbeat = nodes_[random_.Below(nodes_.size())].view->NextHeartbeat(Clock(to));
     switch (random_.Below(6)) {
-      case 0: beat.from = "stranger"; break;
-      case 1: beat.life = random_.Next(); break;
-      case 2: beat.number += random_.Below(200); break;
-      case 3: beat.listed = 1 + static_cast<int>(random_.Below(10)); break;
-      case 4: beat.hears.clear(); break;
+      case 0: heartbeat.sender = "stranger"; break;
+      case 1: heartbeat.incarnation = random_.Next(); break;
+      case 2: heartbeat.sequence += random_.Below(200); break;
+      case 3: heartbeat.configured = 1 + static_cast<int>(random_.Below(10)); break;
+      case 4: heartbeat.acknowledgements.clear(); break;
       default:
-        for (Beat::Echo& echo : beat.hears) echo.number += random_.Below(100);
+        for (Heartbeat::Acknowledgement& each : heartbeat.acknowledgements)
+          each.sequence += random_.Below(100);
     }
-    Hear(to, beat);
+    Receive(to, heartbeat);
   }
 
-  void AddLook(std::size_t node) {
-    const PeerView::Look look = nodes_[node].view->At(Clock(node));
-    digest_.Add(look.listed);
-    digest_.Add(look.present);
-    digest_.Add(look.place);
-    digest_.Add(look.in_touch_until);
+  void AddSnapshot(std::size_t node) {
+    const MembershipView::Snapshot snapshot = nodes_[node].view->TakeSnapshot(Clock(node));
+    digest_.Add(snapshot.configured);
+    digest_.Add(snapshot.present);
+    digest_.Add(snapshot.rank);
+    digest_.Add(snapshot.quorum_until);
   }
 
-  void AddPeers(std::size_t node) {
-    const PeerView& view = *nodes_[node].view;
-    digest_.Add(view.list());
-    for (const PeerView::Peer& peer : view.peers()) {
-      digest_.Add(peer.name);
-      digest_.Add(peer.life);
-      digest_.Add(peer.number);
-      digest_.Add(peer.list);
-      digest_.Add(peer.listed);
-      digest_.Add(peer.heard_at);
-      digest_.Add(peer.mutual_at);
+  void AddMembers(std::size_t node) {
+    const MembershipView& view = *nodes_[node].view;
+    digest_.Add(view.list_hash());
+    for (const MembershipView::Member& member : view.members()) {
+      digest_.Add(member.name);
+      digest_.Add(member.incarnation);
+      digest_.Add(member.sequence);
+      digest_.Add(member.list_hash);
+      digest_.Add(member.configured);
+      digest_.Add(member.received_at);
+      digest_.Add(member.acknowledged_at);
     }
   }
 
--- a/tests/membership/fixture_test.cpp
+++ b/tests/membership/fixture_test.cpp
@@ -19,13 +19,15 @@
 #include "edge/edge_config.hpp"
 #include "membership/characterization.hpp"
 #include "membership/heartbeat.hpp"
+#include "membership/heartbeat_codec.hpp"
 #include "membership/peers_config.hpp"
 
 namespace meadowyard::testing {
 namespace {
 
-using membership::Beat;
-using membership::ParseBeat;
+using membership::DecodeHeartbeat;
+using membership::EncodeHeartbeat;
+using membership::Heartbeat;
 using membership::ParsePeers;
 using membership::PeerAddress;
 using membership::PeersConfig;
@@ -47,36 +49,36 @@
 Bytes ToBytes(const std::string& text) { return {text.begin(), text.end()}; }
 std::string ToText(const Bytes& bytes) { return {bytes.begin(), bytes.end()}; }
 
-Beat PlainHeartbeat() {
-  Beat beat;
-  beat.from = "g1";
-  beat.life = 0xfedcba9876543210;
-  beat.number = 70000;
-  beat.list = 0x0123456789abcdef;
-  beat.listed = 3;
-  beat.hears = {{"g0", 5, 6}, {"gateway three", ~0ULL, 1ULL << 40}};
-  return beat;
+Heartbeat PlainHeartbeat() {
+  Heartbeat heartbeat;
+  heartbeat.sender = "g1";
+  heartbeat.incarnation = 0xfedcba9876543210;
+  heartbeat.sequence = 70000;
+  heartbeat.list_hash = 0x0123456789abcdef;
+  heartbeat.configured = 3;
+  heartbeat.acknowledgements = {{"g0", 5, 6}, {"gateway three", ~0ULL, 1ULL << 40}};
+  return heartbeat;
 }
 
-Beat HeartbeatWithGossip() {
-  Beat beat = PlainHeartbeat();
-  beat.started = {{"h-1", 12.5}, {"h-2", 0}, {"h-3", 59999.125}, {"h-4", 0.1}};
-  beat.recovered = {"h-5", "h-6"};
-  return beat;
+Heartbeat HeartbeatWithGossip() {
+  Heartbeat heartbeat = PlainHeartbeat();
+  heartbeat.started = {{"h-1", 12.5}, {"h-2", 0}, {"h-3", 59999.125}, {"h-4", 0.1}};
+  heartbeat.recovered = {"h-5", "h-6"};
+  return heartbeat;
 }
 
-Beat HeartbeatWithZones() {
-  Beat beat = HeartbeatWithGossip();
-  beat.sights =
+Heartbeat HeartbeatWithZones() {
+  Heartbeat heartbeat = HeartbeatWithGossip();
+  heartbeat.zone_load =
       ZoneLoadReport{.zone = "a",
                      .arrival_rate = 123.456,
                      .zones = {{"a", 12, 11.5, 4096, 4000.25}, {"b", 8, 0, 0, 0}, {"", 1, 1, 1, 1}}};
-  return beat;
+  return heartbeat;
 }
 
 struct HeartbeatFixture {
   const char* file;
-  Beat heartbeat;
+  Heartbeat heartbeat;
 };
 
 std::vector<HeartbeatFixture> HeartbeatFixtures() {
@@ -101,30 +103,30 @@
   }
 }
 
-void ExpectSame(const Beat& read, const Beat& written) {
-  EXPECT_EQ(read.from, written.from);
-  EXPECT_EQ(read.life, written.life);
-  EXPECT_EQ(read.number, written.number);
-  EXPECT_EQ(read.list, written.list);
-  EXPECT_EQ(read.listed, written.listed);
-  ASSERT_EQ(read.hears.size(), written.hears.size());
-  for (std::size_t i = 0; i < read.hears.size(); ++i) {
-    EXPECT_EQ(read.hears[i].name, written.hears[i].name);
-    EXPECT_EQ(read.hears[i].life, written.hears[i].life);
-    EXPECT_EQ(read.hears[i].number, written.hears[i].number);
+void ExpectSame(const Heartbeat& read, const Heartbeat& written) {
+  EXPECT_EQ(read.sender, written.sender);
+  EXPECT_EQ(read.incarnation, written.incarnation);
+  EXPECT_EQ(read.sequence, written.sequence);
+  EXPECT_EQ(read.list_hash, written.list_hash);
+  EXPECT_EQ(read.configured, written.configured);
+  ASSERT_EQ(read.acknowledgements.size(), written.acknowledgements.size());
+  for (std::size_t i = 0; i < read.acknowledgements.size(); ++i) {
+    EXPECT_EQ(read.acknowledgements[i].member, written.acknowledgements[i].member);
+    EXPECT_EQ(read.acknowledgements[i].incarnation, written.acknowledgements[i].incarnation);
+    EXPECT_EQ(read.acknowledgements[i].sequence, written.acknowledgements[i].sequence);
   }
   ASSERT_EQ(read.started.size(), written.started.size());
   for (std::size_t i = 0; i < read.started.size(); ++i) {
-    EXPECT_EQ(read.started[i].server, written.started[i].server);
+    EXPECT_EQ(read.started[i].endpoint, written.started[i].endpoint);
     EXPECT_EQ(read.started[i].age, written.started[i].age);
   }
   EXPECT_EQ(read.recovered, written.recovered);
-  ExpectSameZones(read.sights, written.sights);
+  ExpectSameZones(read.zone_load, written.zone_load);
 }
 
 TEST(HeartbeatFixture, IsWrittenWithTheSameBytes) {
   for (const HeartbeatFixture& fixture : HeartbeatFixtures()) {
-    const Bytes bytes = membership::ToBytes(fixture.heartbeat);
+    const Bytes bytes = EncodeHeartbeat(fixture.heartbeat);
     WriteIfAsked(fixture.file, ToText(bytes));
     EXPECT_EQ(bytes, ToBytes(ReadFixture(fixture.file))) << fixture.file;
   }
@@ -133,18 +135,18 @@
 TEST(HeartbeatFixture, IsReadInAllFieldsAndWrittenBack) {
   for (const HeartbeatFixture& fixture : HeartbeatFixtures()) {
     const Bytes bytes = ToBytes(ReadFixture(fixture.file));
-    const auto heartbeat = ParseBeat(bytes.data(), bytes.size());
+    const auto heartbeat = DecodeHeartbeat(bytes);
     ASSERT_TRUE(heartbeat) << fixture.file;
     ExpectSame(*heartbeat, fixture.heartbeat);
-    EXPECT_EQ(membership::ToBytes(*heartbeat), bytes) << fixture.file;
+    EXPECT_EQ(EncodeHeartbeat(*heartbeat), bytes) << fixture.file;
   }
 }
 
 // Whether a datagram is accepted, and what is read from it.
 void AddParsed(Digest& digest, const Bytes& datagram) {
-  const auto heartbeat = ParseBeat(datagram.data(), datagram.size());
+  const auto heartbeat = DecodeHeartbeat(datagram);
   digest.Add(heartbeat.has_value());
-  if (heartbeat) digest.Add(membership::ToBytes(*heartbeat));
+  if (heartbeat) digest.Add(EncodeHeartbeat(*heartbeat));
 }
 
 constexpr std::uint64_t kSeeds[] = {1, 2, 3};
@@ -154,7 +156,7 @@
     SplitMix64 random(seed);
     Digest digest;
     for (int i = 0; i < 4000; ++i) {
-      Bytes datagram = membership::ToBytes(HeartbeatFixtures()[random.Below(3)].heartbeat);
+      Bytes datagram = EncodeHeartbeat(HeartbeatFixtures()[random.Below(3)].heartbeat);
       for (std::size_t changes = random.Below(4); changes > 0; --changes) {
         datagram[random.Below(datagram.size())] = static_cast<std::uint8_t>(random.Next());
       }
@@ -215,7 +217,7 @@
     Digest digest;
     for (int i = 0; i < 3000; ++i) {
       auto message =
-          nlohmann::json::from_cbor(membership::ToBytes(HeartbeatFixtures()[random.Below(3)].heartbeat));
+          nlohmann::json::from_cbor(EncodeHeartbeat(HeartbeatFixtures()[random.Below(3)].heartbeat));
       for (std::size_t changes = 1 + random.Below(2); changes > 0; --changes) {
         const std::string& key = keys[random.Below(keys.size())];
         if (random.Chance(0.2)) {
@@ -236,8 +238,9 @@
   out.precision(17);
   out << "path " << config.path << "\nself " << config.self << "\nlisten " << config.listen << "\n";
   for (const PeerAddress& peer : config.all) out << "peer " << peer.name << " " << peer.address << "\n";
-  out << "subset " << config.subset << "\nbeat " << config.beat << "\nsilent " << config.silent << "\ngone "
-      << config.gone << "\nshare_list " << config.share_list << "\nlease " << config.lease << "\n";
+  out << "subset " << config.subset << "\nbeat " << config.beat << "\nsilent " << config.silent
+      << "\ngone " << config.gone << "\nshare_list " << config.share_list << "\nlease " << config.lease
+      << "\n";
   const ZoneRoutingSettings& locality = config.locality;
   out << "locality " << locality.enabled << " " << locality.overprovisioning << " "
       << locality.panic_threshold << " " << locality.max_overflow << "\n";
