--- a/src/app/cluster_service.cpp
+++ b/src/app/cluster_service.cpp
@@ -7,7 +7,8 @@
 
 namespace meadowyard {
 
-ClusterService::ClusterService(boost::asio::io_context& io, Discovery& discovery, Handlers handlers)
+ClusterService::ClusterService(boost::asio::io_context& io, discovery::DiscoveryClient& discovery,
+                               Handlers handlers)
     : io_(io), discovery_(discovery), handlers_(std::move(handlers)) {}
 
 void ClusterService::Know(membership::PeersConfig peers) {
@@ -27,18 +28,18 @@
                     [this](double chance) { Beat(chance); },
                     [this] { return zones_ ? std::optional(handlers_.sights()) : std::nullopt; },
                     [this](int from, const ZoneLoadReport& sights) {
-                      if (zones_) zones_->See(Now(), from, sights);
+                      if (zones_) zones_->See(core::Now(), from, sights);
                     }});
 }
 
 void ClusterService::Heard(int from, Duty duty, const DutyWord& word) {
-  if (duty == Duty::kList && duty_) duty_->Hear(Now(), from, word);
-  if (duty == Duty::kZones && zones_) zones_->Hear(Now(), from, word);
+  if (duty == Duty::kList && duty_) duty_->Hear(core::Now(), from, word);
+  if (duty == Duty::kZones && zones_) zones_->Hear(core::Now(), from, word);
 }
 
 void ClusterService::Beat(double chance) {
-  if (duty_) duty_->Beat(Now(), chance);
-  if (zones_) zones_->Beat(Now(), chance, handlers_.sights());
+  if (duty_) duty_->Beat(core::Now(), chance);
+  if (zones_) zones_->Beat(core::Now(), chance, handlers_.sights());
 }
 
 void ClusterService::Close() {
@@ -46,7 +47,7 @@
   zones_.reset();
   if (!duty_) return;
   duty_.reset();
-  discovery_.Watch();
+  discovery_.Start();
 }
 
 void ClusterService::ShareList() {
@@ -54,17 +55,17 @@
   times.lease.term = peers_->lease;
   times.lease.patience = 2 * peers_->beat;
   times.stale = 2 * peers_->silent;
-  duty_.emplace(static_cast<int>(peers_->self), static_cast<int>(peers_->all.size()), times, Now(),
-                static_cast<Token>(Now()), discovery_.revision(),
+  duty_.emplace(static_cast<int>(peers_->self), static_cast<int>(peers_->all.size()), times, core::Now(),
+                static_cast<Token>(core::Now()), discovery_.revision(),
                 ListDuty::Handlers{[this](int to, const DutyWord& word) {
                                      if (link_) link_->Send(to, Duty::kList, word);
                                    },
                                    handlers_.whole,
-                                   [this](HostList list) {
-                                     discovery_.Known(list.revision);
+                                   [this](discovery::EndpointList list) {
+                                     discovery_.SetRevision(list.revision);
                                      handlers_.told(std::move(list));
                                    },
-                                   [this](bool on) { on ? discovery_.Watch() : discovery_.Rest(); }});
+                                   [this](bool on) { on ? discovery_.Start() : discovery_.Stop(); }});
 }
 
 void ClusterService::ShareZones() {
@@ -73,8 +74,8 @@
   times.lease.patience = 2 * peers_->beat;
   times.judge = peers_->zones;
   times.again = 2 * peers_->beat;
-  zones_.emplace(static_cast<int>(peers_->self), static_cast<int>(peers_->all.size()), times, Now(),
-                 static_cast<Token>(Now()),
+  zones_.emplace(static_cast<int>(peers_->self), static_cast<int>(peers_->all.size()), times, core::Now(),
+                 static_cast<Token>(core::Now()),
                  ZoneDuty::Handlers{[this](int to, const DutyWord& word) {
                                       if (link_) link_->Send(to, Duty::kZones, word);
                                     },
@@ -82,23 +83,23 @@
 }
 
 void ClusterService::Watch() {
-  if (!duty_ || duty_->watches()) discovery_.Watch();
+  if (!duty_ || duty_->watches()) discovery_.Start();
 }
 
-void ClusterService::Told(const HostList& list) {
-  if (duty_) duty_->Told(Now(), list);
+void ClusterService::Told(const discovery::EndpointList& list) {
+  if (duty_) duty_->Told(core::Now(), list);
 }
 
 void ClusterService::Failed() {
-  if (duty_) duty_->Failed(Now());
+  if (duty_) duty_->Failed(core::Now());
 }
 
 void ClusterService::Moving(const boost::asio::ip::tcp::endpoint& address) {
-  if (duty_ && address != discovery_.address()) duty_->Moved(Now());
+  if (duty_ && address != discovery_.address()) duty_->Moved(core::Now());
 }
 
 void ClusterService::Stopping() {
-  if (duty_) duty_->Stopping(Now());
+  if (duty_) duty_->Stopping(core::Now());
   if (zones_) zones_->Stopping();
 }
 
@@ -107,8 +108,8 @@
   nlohmann::json status = link_->Status();
   status["shared_among"] = census.active_gateways;
   status["hosts_used"] = census.subset;
-  if (duty_) status["list"] = duty_->Status(Now());
-  if (zones_) status["zones"] = zones_->Status(Now());
+  if (duty_) status["list"] = duty_->Status(core::Now());
+  if (zones_) status["zones"] = zones_->Status(core::Now());
   return status.dump();
 }
 
--- a/src/app/cluster_service.hpp
+++ b/src/app/cluster_service.hpp
@@ -20,13 +20,13 @@
   struct Handlers {
     std::function<Gossip()> gossip;
     std::function<void(MembershipUpdate)> news;
-    std::function<HostList()> whole;         // the list of hosts as it stands here
-    std::function<void(HostList)> told;      // of it, by a peer
-    std::function<ZoneLoadReport()> sights;  // of the zones
+    std::function<discovery::EndpointList()> whole;     // the list of hosts as it stands here
+    std::function<void(discovery::EndpointList)> told;  // of it, by a peer
+    std::function<ZoneLoadReport()> sights;             // of the zones
     std::function<void(const ZoneAgreement&)> agreed;
   };
   // Without a file there are no peers.
-  ClusterService(boost::asio::io_context& io, Discovery& discovery, Handlers handlers);
+  ClusterService(boost::asio::io_context& io, discovery::DiscoveryClient& discovery, Handlers handlers);
 
   // From now on by this file.
   void Know(membership::PeersConfig peers);
@@ -37,7 +37,7 @@
   // Begins to watch discovery, unless a peer reads it for all.
   void Watch();
   // The own discovery has told (what it told was taken in), has failed, is to be another.
-  void Told(const HostList& list);
+  void Told(const discovery::EndpointList& list);
   void Failed();
   void Moving(const boost::asio::ip::tcp::endpoint& address);
   void Stopping();
@@ -51,7 +51,7 @@
   void Beat(double chance);
 
   boost::asio::io_context& io_;
-  Discovery& discovery_;
+  discovery::DiscoveryClient& discovery_;
   const Handlers handlers_;
   std::optional<membership::PeersConfig> peers_;
   std::optional<ListDuty> duty_;
--- a/src/app/decision_log.cpp
+++ b/src/app/decision_log.cpp
@@ -21,12 +21,12 @@
 }  // namespace
 
 void LogDecision(const Log& entry) {
-  LogFields fields;
+  log::Fields fields;
   if (!entry.endpoint.empty()) fields.emplace_back("endpoint", entry.endpoint);
   if (entry.event == Log::Event::kDispatchRateReduced) {
     fields.emplace_back("rate_per_s", std::to_string(entry.rate_per_s));
   }
-  LogEvent(LogLevel::kInfo, NameOf(entry.event), fields);
+  log::Write(log::Level::kInfo, NameOf(entry.event), fields);
 }
 
 }  // namespace meadowyard::app
--- a/src/app/edge_service.cpp
+++ b/src/app/edge_service.cpp
@@ -29,39 +29,39 @@
                       parent->password};
 }
 
-HostList ListOf(const EdgePool& pool) {
-  HostList list;
-  list.hosts = pool.hosts;
+discovery::EndpointList ListOf(const EdgePool& pool) {
+  discovery::EndpointList list;
+  list.endpoints = pool.hosts;
   return list;
 }
 
 }  // namespace
 
 struct EdgeService::Pool {
-  Pool(boost::asio::io_context& io, Clock& clock, const Settings& settings, std::uint64_t seed,
+  Pool(boost::asio::io_context& io, core::Clock& clock, const Settings& settings, std::uint64_t seed,
        TunnelDialer::Times times)
       : dialer(io, times, [this](const std::string& host) { return core.policy().IsEligible(host); }),
         core(clock, settings, seed, dialer, {[] {}, [](const Log& entry) { LogDecision(entry); }}) {}
 
   void Update(const EdgePool& spec) {
     dialer.SetParent(AccessOf(spec.parent));
-    const HostList list = ListOf(spec);
+    const discovery::EndpointList list = ListOf(spec);
     dialer.Update(list);
     EndpointUpdate news;
-    for (const Host& host : list.hosts) news.endpoints.push_back(host.server);
+    for (const discovery::EndpointRecord& host : list.endpoints) news.endpoints.push_back(host.endpoint);
     core.Report(std::move(news));
   }
 
   bool empty() const { return core.empty() && adopted == 0; }
 
   TunnelDialer dialer;
-  Gateway core;
+  core::Gateway core;
   int adopted = 0;  // tunnels that the process before this one opened
 };
 
-EdgeService::EdgeService(boost::asio::io_context& io, Clock& clock, std::shared_ptr<const EdgeConfig> config,
-                         const Settings& settings, Millis dial, std::uint64_t seed, Fleet fleet,
-                         const std::map<std::string, int>& inherited)
+EdgeService::EdgeService(boost::asio::io_context& io, core::Clock& clock,
+                         std::shared_ptr<const EdgeConfig> config, const Settings& settings, Millis dial,
+                         std::uint64_t seed, Fleet fleet, const std::map<std::string, int>& inherited)
     : io_(io),
       clock_(clock),
       config_(std::move(config)),
@@ -72,7 +72,7 @@
   Apply(*config_, settings);
   front_.Listen(config_, inherited);
   for (const std::string& warning : config_->warnings)
-    LogEvent(LogLevel::kWarn, "edge_warning", {{"text", warning}});
+    log::Write(log::Level::kWarn, "edge_warning", {{"text", warning}});
 }
 
 EdgeService::~EdgeService() = default;
@@ -128,10 +128,10 @@
   Apply(*config_, settings);
   front_.Configure(config_);
   for (const std::string& warning : config_->warnings)
-    LogEvent(LogLevel::kWarn, "edge_warning", {{"text", warning}});
+    log::Write(log::Level::kWarn, "edge_warning", {{"text", warning}});
 }
 
-Gateway* EdgeService::CoreOf(const std::string& pool) {
+core::Gateway* EdgeService::CoreOf(const std::string& pool) {
   if (const auto found = pools_.find(pool); found != pools_.end()) return &found->second->core;
   const EdgePool* const spec = config_->FindPool(pool);
   return spec != nullptr && spec->discovered ? fleet_.core : nullptr;
@@ -139,39 +139,40 @@
 
 TunnelServer::Handlers EdgeService::Handlers() {
   return {[this] { return fleet_.ready(); },
-          [this](const Route& route, ClientRequest request) {
-            if (Gateway* const core = CoreOf(route.pool)) return core->Take(std::move(request));
-            Answer answer;  // the pool went with a reload while the client spoke
-            answer.kind = Answer::Kind::kRefused;
-            request.answer(std::move(answer));
+          [this](const Route& route, core::ClientRequest request) {
+            if (core::Gateway* const core = CoreOf(route.pool)) return core->Submit(std::move(request));
+            core::Answer answer;  // the pool went with a reload while the client spoke
+            answer.kind = core::Answer::Kind::kRejected;
+            request.on_answer(std::move(answer));
           },
           [this](const std::string& pool, const std::string& id) {
-            if (Gateway* const core = CoreOf(pool)) core->Left(id);
+            if (core::Gateway* const core = CoreOf(pool)) core->OnClientDisconnected(id);
           },
           [this](const std::string& pool, const std::string& host) -> std::string {
-            Gateway* const core = CoreOf(pool);
+            core::Gateway* const core = CoreOf(pool);
             if (core == nullptr) return "gone";
             if (core == fleet_.core) return fleet_.unusable(host);
             if (core->policy().IsEligible(host)) return "";
             const EdgePool* const spec = config_->FindPool(pool);
-            const bool listed =
-                spec != nullptr && std::any_of(spec->hosts.begin(), spec->hosts.end(),
-                                               [&](const Host& h) { return h.server.id == host; });
+            const bool listed = spec != nullptr && std::any_of(spec->hosts.begin(), spec->hosts.end(),
+                                                               [&](const discovery::EndpointRecord& h) {
+                                                                 return h.endpoint.id == host;
+                                                               });
             return listed ? "out by hand" : "gone";
           },
-          [this](const std::string& pool, const std::string& host) -> std::function<void(TunnelEnd)> {
-            Gateway* const core = CoreOf(pool);
-            if (core == nullptr) return [](TunnelEnd) {};
+          [this](const std::string& pool, const std::string& host) -> std::function<void(core::TunnelEnd)> {
+            core::Gateway* const core = CoreOf(pool);
+            if (core == nullptr) return [](core::TunnelEnd) {};
             const auto found = pools_.find(pool);
             int* const adopted = found == pools_.end() ? nullptr : &found->second->adopted;
             if (adopted != nullptr) ++*adopted;
-            return [adopted, closed = core->AdoptTunnel(config_->tunnel.name, host)](TunnelEnd end) {
+            return [adopted, closed = core->AdoptTunnel(config_->tunnel.name, host)](core::TunnelEnd end) {
               closed(end);
               if (adopted != nullptr) --*adopted;
             };
           },
           [](const std::string& event, const std::vector<std::pair<std::string, std::string>>& fields) {
-            LogEvent(LogLevel::kInfo, event, fields);
+            log::Write(log::Level::kInfo, event, fields);
           }};
 }
 
--- a/src/app/edge_service.hpp
+++ b/src/app/edge_service.hpp
@@ -18,14 +18,14 @@
 class EdgeService {
  public:
   struct Fleet {  // what serves the discovered hosts
-    Gateway* core = nullptr;
+    core::Gateway* core = nullptr;
     TunnelDialer* dialer = nullptr;
     std::function<bool()> ready;
     std::function<std::string(const std::string& host)> unusable;
   };
   // Listens at once, at `inherited` sockets where the file has them. `settings` are the platform's. Throws
   // boost::system::system_error if it can't.
-  EdgeService(boost::asio::io_context& io, Clock& clock, std::shared_ptr<const EdgeConfig> config,
+  EdgeService(boost::asio::io_context& io, core::Clock& clock, std::shared_ptr<const EdgeConfig> config,
               const Settings& settings, Millis dial, std::uint64_t seed, Fleet fleet,
               const std::map<std::string, int>& inherited);
 
@@ -47,10 +47,10 @@
   struct Pool;
   void Apply(const EdgeConfig& config, const Settings& settings);
   TunnelServer::Handlers Handlers();
-  Gateway* CoreOf(const std::string& pool);
+  core::Gateway* CoreOf(const std::string& pool);
 
   boost::asio::io_context& io_;
-  Clock& clock_;
+  core::Clock& clock_;
   std::shared_ptr<const EdgeConfig> config_;
   const std::uint64_t seed_;
   Millis dial_;
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -56,7 +56,8 @@
     return app.exit(error) == 0 ? 0 : 2;
   }
   try {
-    meadowyard::StartLog(form == "json" ? meadowyard::LogForm::kJson : meadowyard::LogForm::kText, level);
+    meadowyard::log::StartLog(
+        form == "json" ? meadowyard::log::Format::kJson : meadowyard::log::Format::kText, level);
     if (explain->parsed()) return Explain(edge, destination);
     if (check->parsed() && file.ends_with(".toml") && meadowyard::membership::IsPeersFile(file)) {
       meadowyard::membership::LoadPeers(file, std::nullopt);
@@ -70,7 +71,7 @@
       return 0;
     }
     if (check->parsed()) {
-      meadowyard::LoadConfig(
+      meadowyard::config::LoadConfiguration(
           [&](const char* name) { return std::string(name) == "NODE_CONFIG" ? file.c_str() : nullptr; });
       std::printf("%s: good\n", file.c_str());
       return 0;
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -30,32 +30,32 @@
 }
 
 // A file that was turned down is still there for the next version to find: it goes on with the one in force.
-Config Configure(const std::optional<GatewayState>& state) {
-  if (!state) return LoadConfig(Variable);
+config::Configuration Configure(const std::optional<GatewayState>& state) {
+  if (!state) return config::LoadConfiguration(Variable);
   try {
-    Config config = LoadConfig(Variable);
+    config::Configuration config = config::LoadConfiguration(Variable);
     // The environment is that of the first start; the process before this one has followed the file since.
-    if (config.file->value("discovery", "") == state->discovery) {
-      config.discovery = ParseEndpoint(state->discovery).value_or(config.discovery);
+    if (config.document->value("discovery", "") == state->discovery) {
+      config.discovery_address = discovery::ParseAddress(state->discovery).value_or(config.discovery_address);
     }
     return config;
-  } catch (const ConfigError& error) {
-    LogEvent(LogLevel::kWarn, "configuration_kept",
-             {{"text", "going on with the configuration in force"}, {"why", error.what()}});
-    return ParseConfig(nlohmann::json::parse(state->file), Variable);
+  } catch (const ConfigurationError& error) {
+    log::Write(log::Level::kWarn, "configuration_kept",
+               {{"text", "going on with the configuration in force"}, {"why", error.what()}});
+    return config::ParseConfiguration(nlohmann::json::parse(state->file), Variable);
   }
 }
 
 std::string FindPredecessor() {
   try {
-    return LoadConfig(Variable).handover;
-  } catch (const ConfigError&) {
+    return config::LoadConfiguration(Variable).handover_path;
+  } catch (const ConfigurationError&) {
     // Told again below, unless there is a process to follow: the variables may be enough to find it.
   }
   const char* const folder = Variable("TMPDIR");
   const char* const listen = Variable("NODE_LISTEN");
   if (folder == nullptr || listen == nullptr || Variable("NODE_ADMIN") == nullptr) return "";
-  return HandoverPath(folder, listen);
+  return config::HandoverSocketPath(folder, listen);
 }
 
 // The same for the operators' file.
@@ -66,8 +66,8 @@
     return std::make_shared<const EdgeConfig>(LoadEdge(path));
   } catch (const EdgeError& error) {
     if (!state || state->edge.empty()) throw;
-    LogEvent(LogLevel::kWarn, "edge_kept",
-             {{"text", "going on with the file in force"}, {"why", error.what()}});
+    log::Write(log::Level::kWarn, "edge_kept",
+               {{"text", "going on with the file in force"}, {"why", error.what()}});
     return std::make_shared<const EdgeConfig>(ParseEdge(path, state->edge));
   }
 }
@@ -84,21 +84,21 @@
   auto inheritance = AskPredecessor(FindPredecessor());
   const auto state = inheritance ? ParseState(inheritance->state) : std::nullopt;
   if (!state) inheritance.reset();
-  const Config config = Configure(state);
+  const config::Configuration config = Configure(state);
   Service service(io, config, std::move(inheritance), state, ConfigureEdge(edge, state));
   const auto load_peers = [&peers, &config] {
     const char* const name = Variable("NODE_NAME");
-    return membership::LoadPeers(peers, name != nullptr ? name : config.file->value("name", ""));
+    return membership::LoadPeers(peers, name != nullptr ? name : config.document->value("name", ""));
   };
   if (!peers.empty()) service.KnowPeers(load_peers());
   LiveSettings settings(VariableAtReload, config,
-                        {[&](const Config& changed) {
+                        {[&](const config::Configuration& changed) {
                            service.Reload(changed);
-                           LogEvent(LogLevel::kDebug, "configuration_loaded");
+                           log::Write(log::Level::kDebug, "configuration_loaded");
                          },
                          [&](const std::string& why) {
-                           LogEvent(LogLevel::kWarn, "configuration_kept",
-                                    {{"text", "configuration not reloaded"}, {"why", why}});
+                           log::Write(log::Level::kWarn, "configuration_kept",
+                                      {{"text", "configuration not reloaded"}, {"why", why}});
                            service.KeptSettings();
                          }});
   ends.async_wait([&](const boost::system::error_code& ec, int) {
@@ -108,18 +108,20 @@
     if (edge.empty()) return;
     try {
       service.ReloadEdge(std::make_shared<const EdgeConfig>(LoadEdge(edge)));
-      LogEvent(LogLevel::kInfo, "edge_loaded", {{"file", edge}});
+      log::Write(log::Level::kInfo, "edge_loaded", {{"file", edge}});
     } catch (const std::exception& error) {
-      LogEvent(LogLevel::kWarn, "edge_kept", {{"text", "the file was not reloaded"}, {"why", error.what()}});
+      log::Write(log::Level::kWarn, "edge_kept",
+                 {{"text", "the file was not reloaded"}, {"why", error.what()}});
     }
   };
   const auto reload_peers = [&] {
     if (peers.empty()) return;
     try {
       service.KnowPeers(load_peers());
-      LogEvent(LogLevel::kInfo, "peers_loaded", {{"file", peers}});
+      log::Write(log::Level::kInfo, "peers_loaded", {{"file", peers}});
     } catch (const std::exception& error) {
-      LogEvent(LogLevel::kWarn, "peers_kept", {{"text", "the file was not reloaded"}, {"why", error.what()}});
+      log::Write(log::Level::kWarn, "peers_kept",
+                 {{"text", "the file was not reloaded"}, {"why", error.what()}});
     }
   };
   std::function<void()> await_reload = [&] {
@@ -138,7 +140,7 @@
       io.run();
       ended = true;
     } catch (const std::exception& error) {
-      LogEvent(LogLevel::kError, "handler_failed", {{"why", error.what()}});
+      log::Write(log::Level::kError, "handler_failed", {{"why", error.what()}});
     }
   }
 }
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -21,15 +21,15 @@
 constexpr std::size_t kLeastSockets = 128;  // that tunnels have to leave for everything else
 
 // Tunnels have descriptors of their own, which nothing else is given.
-Means MeansOf(const Config& config, const EdgeConfig* edge) {
+Means MeansOf(const config::Configuration& config, const EdgeConfig* edge) {
   const std::size_t tunnels = edge != nullptr ? edge->descriptors() : 0;
-  if (tunnels > 0 && tunnels + kLeastSockets > config.sockets) {
+  if (tunnels > 0 && tunnels + kLeastSockets > config.max_descriptors) {
     throw EdgeError(edge->path + ": tunnels.most: tunnels and handshakes may hold " +
                     std::to_string(tunnels) + " descriptors, and limits.sockets of the platform's file is " +
-                    std::to_string(config.sockets) + ", of which " + std::to_string(kLeastSockets) +
+                    std::to_string(config.max_descriptors) + ", of which " + std::to_string(kLeastSockets) +
                     " have to be left");
   }
-  return {config.sockets - tunnels, config.memory_mb, config.admin.has_value()};
+  return {config.max_descriptors - tunnels, config.memory_limit_mb, config.admin_address.has_value()};
 }
 
 ClientLimits LimitsFor(const Budget& budget) {
@@ -40,81 +40,84 @@
   return limits;
 }
 
-EndpointUpdate ToNews(const HostList& list) {
+EndpointUpdate ToNews(const discovery::EndpointList& list) {
   EndpointUpdate news;
-  news.kind = list.complete ? EndpointUpdate::Kind::kSnapshot : EndpointUpdate::Kind::kDelta;
-  for (const Host& host : list.hosts) news.endpoints.push_back(host.server);
+  news.kind = list.is_snapshot ? EndpointUpdate::Kind::kSnapshot : EndpointUpdate::Kind::kDelta;
+  for (const discovery::EndpointRecord& host : list.endpoints) news.endpoints.push_back(host.endpoint);
   return news;
 }
 
 }  // namespace
 
-Service::Service(asio::io_context& io, const Config& config, std::optional<Inheritance> inheritance,
-                 std::optional<GatewayState> state, std::shared_ptr<const EdgeConfig> edge)
+Service::Service(asio::io_context& io, const config::Configuration& config,
+                 std::optional<Inheritance> inheritance, std::optional<GatewayState> state,
+                 std::shared_ptr<const EdgeConfig> edge)
     : clock_(io),
       config_(config),
-      file_(config.file),
+      file_(config.document),
       settings_(config.settings),
       edge_file_(std::move(edge)),
       others_(state ? state->descriptors : 0),
       budget_(ShareOut(MeansOf(config, edge_file_.get()), others_)),
-      stall_detector_(
-          io, {[this](Millis since) { return discovery_.AskAnew(since); }, [this] { hosts_.Resume(); }}),
-      hosts_(io, {config.dial_timeout, config.idle_timeout, budget_.host_connections},
+      stall_detector_(io, {[this](Millis since) { return discovery_.PollAgainSince(since); },
+                           [this] { hosts_.Resume(); }}),
+      hosts_(io, {config.connect_timeout, config.endpoint_idle_timeout, budget_.host_connections},
              {[this](const std::string& host) { return core_.policy().IsEligible(host); },
               [this] { return stall_detector_.IsListCurrent(); }}),
-      dialer_(io, {config.dial_timeout, 0},
+      dialer_(io, {config.connect_timeout, 0},
               [this](const std::string& host) { return core_.policy().IsEligible(host); }),
       upstream_(hosts_, dialer_),
       core_(clock_, Fitted(), config.seed, upstream_,
             {[this] { peers_.Watch(); }, [](const Log& entry) { LogDecision(entry); }}),
-      discovery_(io, config.discovery,
-                 !state                  ? std::optional(config.known.revision)
-                 : state->revision_known ? std::optional(state->hosts.revision)
-                                         : std::nullopt,
-                 {[this](const HostList& list) { ToldByDiscovery(list); }, [this] { ListFailed(); }}),
-      peers_(
-          io, discovery_,
-          {[this] { return core_.policy().CollectGossip(); },
-           [this](MembershipUpdate news) { core_.Report(std::move(news)); }, [this] { return WholeList(); },
-           [this](const HostList& list) { Told(list); }, [this] { return core_.policy().CollectZoneLoad(); },
-           [this](const ZoneAgreement& zones) { core_.Report(zones); }}),
+      discovery_(
+          io, config.discovery_address,
+          !state                  ? std::optional(config.known_endpoints.revision)
+          : state->revision_known ? std::optional(state->hosts.revision)
+                                  : std::nullopt,
+          {[this](const discovery::EndpointList& list) { ToldByDiscovery(list); }, [this] { ListFailed(); }}),
+      peers_(io, discovery_,
+             {[this] { return core_.policy().CollectGossip(); },
+              [this](MembershipUpdate news) { core_.Report(std::move(news)); },
+              [this] { return WholeList(); }, [this](const discovery::EndpointList& list) { Told(list); },
+              [this] { return core_.policy().CollectZoneLoad(); },
+              [this](const ZoneAgreement& zones) { core_.Report(zones); }}),
       stop_(io),
       ask_again_(io),
       clients_(io,
-               {config.listen, config.admin.has_value(), inheritance ? inheritance->listener.release() : -1},
+               {config.listen_address, config.admin_address.has_value(),
+                inheritance ? inheritance->listener.release() : -1},
                LimitsFor(budget_),
                {[this] { return listed_ && !stopping_; }, &EmergencyMemoryReserve::IsAvailable,
                 [this](const std::string& name, Idempotency effect) {
                   // Requests are never of the tunnels' class.
                   if (edge_file_ && name == edge_file_->tunnel.name) return Policy::Admission::kUnknownClass;
-                  return core_.Admits(name, effect);
+                  return core_.CheckAdmission(name, effect);
                 },
-                [this](ClientRequest request) { core_.Take(std::move(request)); },
-                [this](const std::string& id) { core_.Whole(id); },
-                [this](const std::string& id) { core_.Left(id); }}) {
+                [this](core::ClientRequest request) { core_.Submit(std::move(request)); },
+                [this](const std::string& id) { core_.OnBodyComplete(id); },
+                [this](const std::string& id) { core_.OnClientDisconnected(id); }}) {
   if (edge_file_) {
     std::map<std::string, int> doors;
     if (inheritance) {
       for (auto& [key, socket] : inheritance->doors) doors[key] = socket.release();
     }
-    edge_.emplace(io, clock_, edge_file_, settings_, config.dial_timeout, config.seed, FleetForTunnels(),
+    edge_.emplace(io, clock_, edge_file_, settings_, config.connect_timeout, config.seed, FleetForTunnels(),
                   doors);
   }
-  if (config.admin) {
+  if (config.admin_address) {
     admin_.emplace(
-        io, *config.admin, AdminServer::Limits(),
+        io, *config.admin_address, AdminServer::Limits(),
         AdminServer::Handlers{
             [this] { return listed_ && !stopping_; },
-            [this] { return core_.figures().ToJson(core_.policy().CollectStats()); },
+            [this] { return core_.metrics().ToJson(core_.policy().CollectStats()); },
             [this](const std::string& host, bool out) { return Maintain(host, out); },
             [this] { return edge_ ? std::optional(edge_->front().Status().dump()) : std::nullopt; },
             [this](std::uint64_t id) { return edge_ && edge_->front().CloseOne(id); },
             [this] { return peers_.Status(core_.policy().CollectStats()); }});
-    succession_.emplace(io, config.handover, inheritance ? std::move(inheritance->link) : Descriptor(),
+    succession_.emplace(io, config.handover_path, inheritance ? std::move(inheritance->link) : Descriptor(),
                         SuccessionHandlers());
   }
-  Told(state ? state->hosts : config.known);
+  Told(state ? state->hosts : config.known_endpoints);
   if (state) core_.Report(std::move(state->learned));
   if (!settings_.polls_endpoints) peers_.Watch();
 }
@@ -142,10 +145,10 @@
 std::string Service::StateText() {
   GatewayState state;
   state.file = file_->dump();
-  state.discovery = ToText(discovery_.address());
+  state.discovery = discovery::FormatAddress(discovery_.address());
   state.revision_known = discovery_.revision().has_value();
   state.hosts.revision = discovery_.revision().value_or(0);
-  for (const auto& [id, host] : list_) state.hosts.hosts.push_back(host);
+  for (const auto& [id, host] : list_) state.hosts.endpoints.push_back(host);
   state.learned = core_.policy().Snapshot();
   if (edge_) state.edge = edge_->config().text;
   state.descriptors = clients_.sessions() + hosts_.connections() + kOwnSockets;
@@ -159,15 +162,15 @@
   core_.Configure(Fitted());
 }
 
-void Service::ToldByDiscovery(const HostList& list) {
+void Service::ToldByDiscovery(const discovery::EndpointList& list) {
   Told(list);
   peers_.Told(list);
   stall_detector_.OnDiscoveryAnswered();
 }
 
-HostList Service::WholeList() const {
-  HostList whole;
-  for (const auto& [id, host] : list_) whole.hosts.push_back(host);
+discovery::EndpointList Service::WholeList() const {
+  discovery::EndpointList whole;
+  for (const auto& [id, host] : list_) whole.endpoints.push_back(host);
   return whole;
 }
 
@@ -199,16 +202,16 @@
   core_.Configure(Fitted());
 }
 
-void Service::Reload(const Config& config) {
+void Service::Reload(const config::Configuration& config) {
   if (edge_file_)
     EdgeService::WithTunnels(config.settings, *edge_file_);  // throws before anything is changed
-  file_ = config.file;
+  file_ = config.document;
   settings_ = config.settings;
-  hosts_.SetTimes(config.dial_timeout, config.idle_timeout);
-  core_.figures().Configured(true);
+  hosts_.SetTimes(config.connect_timeout, config.endpoint_idle_timeout);
+  core_.metrics().Configured(true);
   core_.Configure(Fitted());
-  peers_.Moving(config.discovery);
-  discovery_.Move(config.discovery);
+  peers_.Moving(config.discovery_address);
+  discovery_.SetAddress(config.discovery_address);
 }
 
 Settings Service::Fitted() const {
@@ -229,13 +232,13 @@
   if (core_.policy().IsEligible(host)) return "";
   const auto listed = list_.find(host);
   if (listed == list_.end()) return "gone";
-  return listed->second.server.state == EndpointState::kDraining ? "draining" : "out by hand";
+  return listed->second.endpoint.state == EndpointState::kDraining ? "draining" : "out by hand";
 }
 
 void Service::ReloadEdge(std::shared_ptr<const EdgeConfig> edge) {
   MeansOf(config_, edge.get());
   EdgeService::WithTunnels(settings_, *edge);
-  edge_->Reload(edge, settings_, config_.dial_timeout);
+  edge_->Reload(edge, settings_, config_.connect_timeout);
   edge_file_ = std::move(edge);
   budget_ = ShareOut(MeansOf(config_, edge_file_.get()), others_);
   core_.Configure(Fitted());
@@ -258,18 +261,18 @@
   if (edge_) edge_->Maintained(host, out);
 }
 
-void Service::Told(const HostList& list) {
+void Service::Told(const discovery::EndpointList& list) {
   hosts_.Update(list);  // first: nothing may be sent by the old list any more
   dialer_.Update(list);
-  if (list.complete) list_.clear();
-  for (const Host& host : list.hosts) {
-    if (host.server.state == EndpointState::kRemoved) {
-      list_.erase(host.server.id);
+  if (list.is_snapshot) list_.clear();
+  for (const discovery::EndpointRecord& host : list.endpoints) {
+    if (host.endpoint.state == EndpointState::kRemoved) {
+      list_.erase(host.endpoint.id);
     } else {
-      list_[host.server.id] = host;
+      list_[host.endpoint.id] = host;
     }
   }
-  listed_ = listed_ || !list.hosts.empty();
+  listed_ = listed_ || !list.endpoints.empty();
   core_.Report(ToNews(list));
   if (edge_) edge_->front().HostsChanged();
   if (listed_ && succession_) succession_->Serve();
@@ -279,7 +282,7 @@
   peers_.Failed();
   core_.Report(EndpointUpdate{EndpointUpdate::Kind::kFailed, {}});
   if (settings_.polls_endpoints) return;  // the policy says when to ask again
-  ask_again_.expires_after(Span(kAskAgain));
+  ask_again_.expires_after(core::ToDuration(kAskAgain));
   ask_again_.async_wait([this](error_code ec) {
     if (!ec) peers_.Watch();
   });
@@ -305,7 +308,7 @@
     if (--*left == 0) finished();
   };
   const auto after = [this](Millis wait, auto next) {
-    stop_.expires_after(Span(wait));
+    stop_.expires_after(core::ToDuration(wait));
     stop_.async_wait([next = std::move(next)](error_code) { next(); });
   };
   const auto fail_rest = [this, after, left, done] {
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -32,11 +32,13 @@
  public:
   // Listens and watches at once. Throws std::exception if the settings or the address can't work.
   // With an operators' file it takes tunnels too.
-  Service(boost::asio::io_context& io, const Config& config, std::shared_ptr<const EdgeConfig> edge = nullptr)
+  Service(boost::asio::io_context& io, const config::Configuration& config,
+          std::shared_ptr<const EdgeConfig> edge = nullptr)
       : Service(io, config, {}, {}, std::move(edge)) {}
   // Follows another process: begins with what that one knows, and at its listening socket.
-  Service(boost::asio::io_context& io, const Config& config, std::optional<Inheritance> inheritance,
-          std::optional<GatewayState> state, std::shared_ptr<const EdgeConfig> edge = nullptr);
+  Service(boost::asio::io_context& io, const config::Configuration& config,
+          std::optional<Inheritance> inheritance, std::optional<GatewayState> state,
+          std::shared_ptr<const EdgeConfig> edge = nullptr);
 
   boost::asio::ip::tcp::endpoint address() const { return clients_.address(); }
 
@@ -45,14 +47,14 @@
 
   // Takes over what a changed configuration may change while the gateway runs: the settings, and where
   // discovery is.
-  void Reload(const Config& config);
+  void Reload(const config::Configuration& config);
   // The same of the operators' file: all of it, or, with a throw that says why, nothing.
   void ReloadEdge(std::shared_ptr<const EdgeConfig> edge);
   // What gateways in front of the same hosts tell each other, from now on by this file.
   void KnowPeers(membership::PeersConfig peers);
   EdgeService& edge() { return edge_.value(); }  // throws std::bad_optional_access without a file
   // A changed configuration was turned down.
-  void KeptSettings() { core_.figures().Configured(false); }
+  void KeptSettings() { core_.metrics().Configured(false); }
 
   // A planned end, in times from its beginning. SIGKILL comes at 3,700 ms or later.
   struct StopTimes {
@@ -75,11 +77,11 @@
   // The next process serves: everything that is idle goes there.
   void HandOver();
   void TakeBack();
-  void ToldByDiscovery(const HostList& list);
-  HostList WholeList() const;
+  void ToldByDiscovery(const discovery::EndpointList& list);
+  discovery::EndpointList WholeList() const;
   // Shares the descriptors out anew: the process before this one still holds so many of them.
   void Share(std::size_t others);
-  void Told(const HostList& list);
+  void Told(const discovery::EndpointList& list);
   void ListFailed();
   // The settings in force for the core: with the room that there is, and the tunnels' class.
   Settings Fitted() const;
@@ -87,8 +89,8 @@
   // Why nothing new may go to a host of the fleet; empty: it may.
   std::string Unusable(const std::string& host) const;
 
-  IoClock clock_;
-  const Config config_;  // as at the start
+  core::AsioClock clock_;
+  const config::Configuration config_;  // as at the start
   std::shared_ptr<const nlohmann::json> file_;
   Settings settings_;                            // as in the file in force
   std::shared_ptr<const EdgeConfig> edge_file_;  // null: no tunnels
@@ -101,11 +103,11 @@
   HostPool hosts_;
   TunnelDialer dialer_;
   SplitUpstream upstream_;
-  Gateway core_;
-  Discovery discovery_;
+  core::Gateway core_;
+  discovery::DiscoveryClient discovery_;
   ClusterService peers_;
-  std::map<std::string, Host> list_;  // as discovery told it
-  bool listed_ = false;               // some list of hosts is known
+  std::map<std::string, discovery::EndpointRecord> list_;  // as discovery told it
+  bool listed_ = false;                                    // some list of hosts is known
   bool stopping_ = false;
   boost::asio::steady_timer stop_;
   boost::asio::steady_timer ask_again_;
--- a/src/app/stall_detector.cpp
+++ b/src/app/stall_detector.cpp
@@ -20,8 +20,8 @@
 }
 
 void StallDetector::ScheduleTick() {
-  ticked_at_ = Now();
-  tick_.expires_after(Span(kTickInterval));
+  ticked_at_ = core::Now();
+  tick_.expires_after(core::ToDuration(kTickInterval));
   tick_.async_wait([this](boost::system::error_code ec) {
     if (ec) return;
     (void)IsListCurrent();  // before the next tick: a stall may be noticed here first
@@ -31,12 +31,12 @@
 
 bool StallDetector::IsListCurrent() {
   if (polling_) return false;
-  if (Now() - ticked_at_ < kStallThreshold) return true;
+  if (core::Now() - ticked_at_ < kStallThreshold) return true;
   // Had the event loop been running, the next tick would have come by then.
-  const Millis stalled_by = std::exchange(ticked_at_, Now()) + 2 * kTickInterval;
+  const Millis stalled_by = std::exchange(ticked_at_, core::Now()) + 2 * kTickInterval;
   if (!handlers_.poll_endpoints(stalled_by)) return true;
   polling_ = true;
-  poll_timeout_.expires_after(Span(kPollTimeout));
+  poll_timeout_.expires_after(core::ToDuration(kPollTimeout));
   poll_timeout_.async_wait([this](boost::system::error_code ec) {
     if (!ec) OnDiscoveryAnswered();
   });
--- a/src/app/stall_detector.hpp
+++ b/src/app/stall_detector.hpp
@@ -41,7 +41,7 @@
   const Handlers handlers_;
   boost::asio::steady_timer tick_;
   boost::asio::steady_timer poll_timeout_;
-  Millis ticked_at_ = Now();
+  Millis ticked_at_ = core::Now();
   bool polling_ = false;
 };
 
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -9,7 +9,7 @@
 
 #include "simulator/settings_parser.hpp"
 
-namespace meadowyard {
+namespace meadowyard::config {
 namespace {
 
 constexpr std::size_t kMostPath = 100;  // of a Unix socket's path, with room for a suffix
@@ -37,14 +37,14 @@
 
 Settings ReadSettings(const json& file) {
   if (!file.contains("settings") || !file["settings"].is_object()) {
-    throw ConfigError("settings: missing, or not an object");
+    throw ConfigurationError("settings: missing, or not an object");
   }
   std::vector<std::string> pairs;
   Flatten(file["settings"], "", pairs);
   try {
     return simulator::ParseSettings({pairs.begin(), pairs.end()});
   } catch (const std::exception& error) {  // its text names the field
-    throw ConfigError(std::string("settings: ") + error.what());
+    throw ConfigurationError(std::string("settings: ") + error.what());
   }
 }
 
@@ -53,7 +53,7 @@
   const json::json_pointer at(path);
   if (!file.contains(at) || file[at].is_null()) return otherwise;
   if (!file[at].is_number() || !(file[at].get<double>() > 0)) {
-    throw ConfigError(path.substr(1) + ": must be a number above 0");
+    throw ConfigurationError(path.substr(1) + ": must be a number above 0");
   }
   return file[at].get<double>();
 }
@@ -71,14 +71,15 @@
     NeedPositive(file, path + "deadlineMs");
     NeedPositive(file, path + "sloMs");
     if (i < settings.classes.size() && !names.insert(settings.classes[i].name).second) {
-      throw ConfigError("settings: categories.name: '" + settings.classes[i].name + "' is there twice");
+      throw ConfigurationError("settings: categories.name: '" + settings.classes[i].name +
+                               "' is there twice");
     }
   }
   NeedPositive(file, "/settings/limits/maxAttempts");
   try {
     Policy(settings, 0);
   } catch (const std::exception& error) {  // its text names the field
-    throw ConfigError(std::string("settings: ") + error.what());
+    throw ConfigurationError(std::string("settings: ") + error.what());
   }
 }
 
@@ -95,9 +96,9 @@
   for (const auto& [key, value] : before.items()) {
     if (value.is_null() || MayBeAbsent(key)) continue;
     const std::string name = path.empty() ? key : path + "." + key;
-    if (!file.contains(key) || file[key].is_null()) throw ConfigError(name + ": missing");
+    if (!file.contains(key) || file[key].is_null()) throw ConfigurationError(name + ": missing");
     if (value.is_object() != file[key].is_object() || value.is_array() != file[key].is_array()) {
-      throw ConfigError(name + ": of another kind than before");
+      throw ConfigurationError(name + ": of another kind than before");
     }
     if (value.is_object()) NeedKeys(value, file[key], name);
     if (!value.is_array() || value.empty() || !value.front().is_object()) continue;
@@ -108,7 +109,7 @@
       }
     }
     for (const json& item : file[key]) {
-      if (!item.is_object()) throw ConfigError(name + ": holds something else than before");
+      if (!item.is_object()) throw ConfigurationError(name + ": holds something else than before");
       NeedKeys(common, item, name);
     }
   }
@@ -123,63 +124,67 @@
   } else if (file.contains(field) && file[field].is_string()) {
     text = file[field].get<std::string>();
   } else {
-    throw ConfigError(name + ": not set");
+    throw ConfigurationError(name + ": not set");
   }
-  const auto endpoint = ParseEndpoint(text);
-  if (!endpoint) throw ConfigError(name + ": '" + text + "' is not an address and port");
+  const auto endpoint = discovery::ParseAddress(text);
+  if (!endpoint) throw ConfigurationError(name + ": '" + text + "' is not an address and port");
   return *endpoint;
 }
 
 }  // namespace
 
-std::string HandoverPath(const std::string& folder, const std::string& listen) {
+std::string HandoverSocketPath(const std::string& folder, const std::string& listen) {
   std::string name = "meadowyard-" + listen;
   std::replace(name.begin(), name.end(), ':', '-');
   const std::string path = folder + "/" + name;
   return path.size() > kMostPath ? "" : path;
 }
 
-Config LoadConfig(const std::function<const char*(const char*)>& variable, const json* in_force) {
+Configuration LoadConfiguration(const std::function<const char*(const char*)>& variable,
+                                const json* in_force) {
   const char* const path = variable("NODE_CONFIG");
-  if (path == nullptr) throw ConfigError("NODE_CONFIG: not set");
+  if (path == nullptr) throw ConfigurationError("NODE_CONFIG: not set");
   std::ifstream stream(path);
-  if (!stream) throw ConfigError(std::string("NODE_CONFIG: can't read '") + path + "'");
+  if (!stream) throw ConfigurationError(std::string("NODE_CONFIG: can't read '") + path + "'");
   json file = json::parse(stream, nullptr, /*allow_exceptions=*/false);
-  if (!file.is_object()) throw ConfigError(std::string("NODE_CONFIG: '") + path + "' is no JSON object");
+  if (!file.is_object())
+    throw ConfigurationError(std::string("NODE_CONFIG: '") + path + "' is no JSON object");
   if (in_force != nullptr) NeedKeys(*in_force, file, "");
-  return ParseConfig(std::move(file), variable);
+  return ParseConfiguration(std::move(file), variable);
 }
 
-Config ParseConfig(json file, const std::function<const char*(const char*)>& variable) {
-  Config config;
-  config.listen = ReadAddress(variable("NODE_LISTEN"), "NODE_LISTEN", file, "listen");
-  config.discovery = ReadAddress(variable("NODE_DISCOVERY"), "NODE_DISCOVERY", file, "discovery");
+Configuration ParseConfiguration(json file, const std::function<const char*(const char*)>& variable) {
+  Configuration config;
+  config.listen_address = ReadAddress(variable("NODE_LISTEN"), "NODE_LISTEN", file, "listen");
+  config.discovery_address = ReadAddress(variable("NODE_DISCOVERY"), "NODE_DISCOVERY", file, "discovery");
   if (variable("NODE_ADMIN") != nullptr || file.contains("admin")) {
-    config.admin = ReadAddress(variable("NODE_ADMIN"), "NODE_ADMIN", file, "admin");
+    config.admin_address = ReadAddress(variable("NODE_ADMIN"), "NODE_ADMIN", file, "admin");
     const char* const folder = variable("TMPDIR");
-    if (folder != nullptr) config.handover = HandoverPath(folder, ToText(config.listen));
+    if (folder != nullptr)
+      config.handover_path = HandoverSocketPath(folder, discovery::FormatAddress(config.listen_address));
   }
   if (file.contains("seed")) {
     const std::string text = Scalar(file["seed"]);
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), config.seed, 16);
     if (error != std::errc() || end != text.data() + text.size()) {
-      throw ConfigError("seed: '" + text + "' is not up to 16 hex digits");
+      throw ConfigurationError("seed: '" + text + "' is not up to 16 hex digits");
     }
   }
-  config.sockets = static_cast<std::size_t>(PositiveOr(file, "/limits/sockets", 1024));
-  config.memory_mb = PositiveOr(file, "/limits/memory_mb", config.memory_mb);
+  config.max_descriptors = static_cast<std::size_t>(PositiveOr(file, "/limits/sockets", 1024));
+  config.memory_limit_mb = PositiveOr(file, "/limits/memory_mb", config.memory_limit_mb);
   config.settings = ReadSettings(file);
   CheckSettings(file, config.settings);
-  config.dial_timeout = PositiveOr(file, "/settings/limits/dialTimeoutMs", config.dial_timeout);
-  config.idle_timeout = PositiveOr(file, "/settings/limits/connIdleMs", config.idle_timeout);
+  config.connect_timeout = PositiveOr(file, "/settings/limits/dialTimeoutMs", config.connect_timeout);
+  config.endpoint_idle_timeout =
+      PositiveOr(file, "/settings/limits/connIdleMs", config.endpoint_idle_timeout);
   if (file.contains("known") && !file["known"].is_null()) {
-    const auto known = ParseHostList(file["known"].dump());
-    if (!known) throw ConfigError("known: not a list of hosts in discovery's form");
-    config.known = *known;
+    const auto known = discovery::ParseEndpointList(file["known"].dump());
+    if (!known) throw ConfigurationError("known: not a list of hosts in discovery's form");
+    config.known_endpoints = *known;
   }
   file.erase("known");
-  config.file = std::make_shared<const json>(std::move(file));
+  config.document = std::make_shared<const json>(std::move(file));
   return config;
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::config
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -9,46 +9,42 @@
 #include <memory>
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 
 #include "discovery/discovery.hpp"
+#include "meadowyard/error.hpp"
 #include "meadowyard/policy.hpp"
 
-namespace meadowyard {
+namespace meadowyard::config {
 
-// One line that names the variable or field that is missing or wrong.
-class ConfigError : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
-
-struct Config {
-  boost::asio::ip::tcp::endpoint listen;
-  boost::asio::ip::tcp::endpoint discovery;
-  std::optional<boost::asio::ip::tcp::endpoint> admin;  // where operators call, if they do
+struct Configuration {
+  boost::asio::ip::tcp::endpoint listen_address;
+  boost::asio::ip::tcp::endpoint discovery_address;
+  std::optional<boost::asio::ip::tcp::endpoint> admin_address;  // where operators call, if they do
   std::uint64_t seed = 0;
-  std::size_t sockets = 1024;  // file descriptors that the process may hold
-  double memory_mb = 128;      // beyond it the process is killed
+  std::size_t max_descriptors = 1024;  // file descriptors that the process may hold
+  double memory_limit_mb = 128;        // beyond it the process is killed
   Settings settings;
-  Millis dial_timeout = 250;
-  Millis idle_timeout = 15000;                 // a host closes a connection that stood idle for this long
-  HostList known;                              // may be old
-  std::string handover;                        // where the next process finds this one; empty if it is not to
-  std::shared_ptr<const nlohmann::json> file;  // as it was read, less the list of hosts
+  Millis connect_timeout = 250;
+  Millis endpoint_idle_timeout = 15000;     // a host closes a connection that stood idle for this long
+  discovery::EndpointList known_endpoints;  // may be old
+  std::string handover_path;                // where the next process finds this one; empty if it is not to
+  std::shared_ptr<const nlohmann::json> document;  // as it was read, less the list of hosts
 };
 
 // Where a process that listens for clients at `listen` is found by the next one; empty if it can't be.
-std::string HandoverPath(const std::string& folder, const std::string& listen);
+std::string HandoverSocketPath(const std::string& folder, const std::string& listen);
 
 // `variable` looks up an environment variable: null if it is not set. A file that follows the one `in_force`
-// must have each of its keys, but for those that may be absent. Throws ConfigError; what it returns works.
-Config LoadConfig(const std::function<const char*(const char*)>& variable,
-                  const nlohmann::json* in_force = nullptr);
+// must have each of its keys, but for those that may be absent. Throws ConfigurationError; what it returns
+// works.
+Configuration LoadConfiguration(const std::function<const char*(const char*)>& variable,
+                                const nlohmann::json* in_force = nullptr);
 // The same for a file that was read already.
-Config ParseConfig(nlohmann::json file, const std::function<const char*(const char*)>& variable);
+Configuration ParseConfiguration(nlohmann::json file,
+                                 const std::function<const char*(const char*)>& variable);
 
-}  // namespace meadowyard
+}  // namespace meadowyard::config
 
 #endif  // MEADOWYARD_CONFIG_HPP_
--- a/src/core/body_source.hpp
+++ b/src/core/body_source.hpp
@@ -10,29 +10,29 @@
 #include <string>
 #include <string_view>
 
-namespace meadowyard {
+namespace meadowyard::core {
 
-constexpr std::size_t kPiece = 16 * 1024;         // of a body, at the most
-constexpr std::uint64_t kMostStream = 33u << 20;  // bodies of 32 MB occur
+constexpr std::size_t kMaxPieceBytes = 16 * 1024;   // of a body, at the most
+constexpr std::uint64_t kMaxBodyBytes = 33u << 20;  // bodies of 32 MB occur
 
 class BodySource {
  public:
-  enum class Next { kPiece, kWhole, kBroken };
+  enum class Status { kData, kComplete, kBroken };
   // Called once for each Ask, never before Ask returns; a piece is gone after the call.
-  using Take = std::function<void(Next next, std::string_view piece)>;
+  using DataCallback = std::function<void(Status next, std::string_view piece)>;
 
   virtual ~BodySource() = default;
-  virtual void Ask(Take take) = 0;
+  virtual void RequestData(DataCallback take) = 0;
   // Nobody wants the rest.
-  virtual void Abandon() = 0;
+  virtual void Cancel() = 0;
   // Of the whole body; nothing if it shows only at its end.
   virtual std::optional<std::uint64_t> length() const = 0;
   // Whether a piece was asked for: who sends the body again from its start can't have it any more.
-  virtual bool begun() const = 0;
+  virtual bool data_requested() const = 0;
 };
 
 // A piece as it goes on the wire: in a chunk of its own where the length was not told.
-inline std::string Framed(std::string_view piece, bool chunked) {
+inline std::string EncodeBodyData(std::string_view piece, bool chunked) {
   if (!chunked) return std::string(piece);
   if (piece.empty()) return {};  // would be the end
   char head[24];
@@ -43,6 +43,6 @@
 }
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-}  // namespace meadowyard
+}  // namespace meadowyard::core
 
 #endif  // MEADOWYARD_BODY_SOURCE_HPP_
--- a/src/core/clock.cpp
+++ b/src/core/clock.cpp
@@ -3,10 +3,10 @@
 #include <boost/asio/steady_timer.hpp>
 #include <utility>
 
-namespace meadowyard {
+namespace meadowyard::core {
 namespace {
 
-struct IoWait : Clock::Wait {
+struct IoWait : Clock::Timer {
   struct State {
     State(boost::asio::io_context& io, std::function<void()> t) : timer(io), then(std::move(t)) {}
     boost::asio::steady_timer timer;
@@ -22,9 +22,9 @@
 
 }  // namespace
 
-std::unique_ptr<Clock::Wait> IoClock::After(Millis wait, std::function<void()> then) {
+std::unique_ptr<Clock::Timer> AsioClock::StartTimer(Millis wait, std::function<void()> then) {
   auto state = std::make_shared<IoWait::State>(io_, std::move(then));
-  state->timer.expires_after(Span(wait));
+  state->timer.expires_after(ToDuration(wait));
   state->timer.async_wait([state](boost::system::error_code ec) {
     // Moved out first: what is called may end the wait itself.
     if (const auto due = std::exchange(state->then, nullptr); due && !ec) due();
@@ -32,4 +32,4 @@
   return std::make_unique<IoWait>(std::move(state));
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::core
--- a/src/core/clock.hpp
+++ b/src/core/clock.hpp
@@ -9,7 +9,7 @@
 
 #include "meadowyard/policy.hpp"
 
-namespace meadowyard {
+namespace meadowyard::core {
 
 // Never runs backwards, as the policy demands, and a host's up_since_ms needs no further conversion: the
 // shift stays the same, for a start that moved a little between two lists would look like a restart.
@@ -23,7 +23,7 @@
 }
 
 // A span for asio's timers, which take no fractions.
-inline std::chrono::microseconds Span(Millis ms) {
+inline std::chrono::microseconds ToDuration(Millis ms) {
   return std::chrono::microseconds(ms > 0 ? static_cast<std::int64_t>(ms * 1000) : 0);
 }
 
@@ -31,26 +31,26 @@
 class Clock {
  public:
   // A wait that ends with it.
-  class Wait {
+  class Timer {
    public:
-    virtual ~Wait() = default;
+    virtual ~Timer() = default;
   };
   virtual ~Clock() = default;
   virtual Millis Now() = 0;
   // Calls `then` once, unless what it returns is gone by then.
-  virtual std::unique_ptr<Wait> After(Millis wait, std::function<void()> then) = 0;
+  virtual std::unique_ptr<Timer> StartTimer(Millis wait, std::function<void()> then) = 0;
 };
 
-class IoClock : public Clock {
+class AsioClock : public Clock {
  public:
-  explicit IoClock(boost::asio::io_context& io) : io_(io) {}
-  Millis Now() override { return meadowyard::Now(); }
-  std::unique_ptr<Wait> After(Millis wait, std::function<void()> then) override;
+  explicit AsioClock(boost::asio::io_context& io) : io_(io) {}
+  Millis Now() override { return meadowyard::core::Now(); }
+  std::unique_ptr<Timer> StartTimer(Millis wait, std::function<void()> then) override;
 
  private:
   boost::asio::io_context& io_;
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::core
 
 #endif  // MEADOWYARD_CLOCK_HPP_
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 #include <variant>
 
-namespace meadowyard {
+namespace meadowyard::core {
 namespace {
 
 constexpr Millis kMargin = 10;     // before a client leaves: answers travel, and timers may come late
@@ -59,169 +59,178 @@
       policy_(settings_, seed),
       upstream_(upstream),
       handlers_(std::move(handlers)) {
-  figures_.Know(settings_.classes);
+  metrics_.SetClasses(settings_.classes);
 }
 
-Policy::Admission Gateway::Admits(const std::string& class_name, Idempotency effect) {
+Policy::Admission Gateway::CheckAdmission(const std::string& class_name, Idempotency effect) {
   return policy_.CheckAdmission(clock_.Now(), class_name, effect);
 }
 
 void Gateway::Configure(const Settings& settings) {
   settings_ = settings;
-  figures_.Know(settings_.classes);
+  metrics_.SetClasses(settings_.classes);
   Report(SettingsChanged{settings_});
 }
 
 void Gateway::FailAll() {
   std::vector<std::string> left;
   ending_ = true;
-  for (const auto& [id, flow] : flows_) left.push_back(id);
-  for (const std::string& id : left) Overdue(id);
+  for (const auto& [id, flow] : exchanges_) left.push_back(id);
+  for (const std::string& id : left) OnDeadline(id);
 }
 
-void Gateway::Take(ClientRequest request) {
-  if (flows_.contains(request.id)) {  // two answers for one id could not be told apart
-    meadowyard::Answer answer;
-    answer.kind = meadowyard::Answer::Kind::kInUse;
-    return request.answer(std::move(answer));
+void Gateway::Submit(ClientRequest request) {
+  if (exchanges_.contains(request.id)) {  // two answers for one id could not be told apart
+    meadowyard::core::Answer answer;
+    answer.kind = meadowyard::core::Answer::Kind::kDuplicateId;
+    return request.on_answer(std::move(answer));
   }
   if (ending_) {  // nobody would be here to pass the answer on
-    figures_.Taken();
-    figures_.Ended(request.class_name, Figures::End::kDeferred);
-    return request.answer(Unserved(meadowyard::Answer::Kind::kRefused));
+    metrics_.OnRequestAccepted();
+    metrics_.OnRequestFinished(request.class_name, Metrics::RequestResult::kRejected);
+    return request.on_answer(Unserved(meadowyard::core::Answer::Kind::kRejected));
   }
-  Flow& flow = flows_.try_emplace(request.id).first->second;
-  flow.call = std::make_shared<const Call>(std::move(request.call));
-  flow.answer = std::move(request.answer);
-  flow.gone = std::move(request.gone);
+  Exchange& flow = exchanges_.try_emplace(request.id).first->second;
+  flow.message = std::make_shared<const RequestMessage>(std::move(request.message));
+  flow.on_answer = std::move(request.on_answer);
+  flow.has_disconnected = std::move(request.has_disconnected);
   flow.class_name = request.class_name;
-  flow.rest = std::move(request.rest);
-  flow.tunnel = request.tunnel;
-  flow.allowed = request.allowed;
-  flow.leaves_at = request.received + request.allowed - kMargin;
-  flow.sure_until = flow.leaves_at;
-  if (request.sent_after > 0) flow.sure_until -= std::max(0.0, request.received - request.sent_after);
-  const bool coming = flow.rest != nullptr;
-  if (!coming) Count(request.id, flow);
-  Report(Request{request.id, request.class_name, request.tenant, request.key, flow.leaves_at - clock_.Now(),
-                 request.retry, coming, request.only, request.tunnel, request.effect});
+  flow.body_source = std::move(request.body_source);
+  flow.is_tunnel = request.is_tunnel;
+  flow.client_timeout = request.client_timeout;
+  flow.answer_deadline = request.received_at + request.client_timeout - kMargin;
+  flow.retry_deadline = flow.answer_deadline;
+  if (request.earliest_sent_at > 0)
+    flow.retry_deadline -= std::max(0.0, request.received_at - request.earliest_sent_at);
+  const bool coming = flow.body_source != nullptr;
+  if (!coming) Accept(request.id, flow);
+  Report(Request{request.id, request.class_name, request.tenant, request.key,
+                 flow.answer_deadline - clock_.Now(), request.is_retry, coming, request.pinned_endpoint,
+                 request.is_tunnel, request.idempotency});
 }
 
-void Gateway::Count(const std::string& id, Flow& flow) {
-  flow.counted = true;
-  flow.whole_at = clock_.Now();
-  figures_.Taken();
-  flow.overdue =
-      clock_.After(flow.leaves_at + kMargin - kLastMargin - clock_.Now(), [this, id] { Overdue(id); });
+void Gateway::Accept(const std::string& id, Exchange& flow) {
+  flow.accepted = true;
+  flow.body_complete_at = clock_.Now();
+  metrics_.OnRequestAccepted();
+  flow.deadline_timer = clock_.StartTimer(flow.answer_deadline + kMargin - kLastMargin - clock_.Now(),
+                                          [this, id] { OnDeadline(id); });
 }
 
-void Gateway::Whole(const std::string& id) {
-  Flow* const flow = Find(id);
+void Gateway::OnBodyComplete(const std::string& id) {
+  Exchange* const flow = Find(id);
   if (flow == nullptr || flow->answered) return;
-  flow->spent = true;  // its pieces went to a host as they came; the first one alone is still here
-  flow->rest.reset();
-  flow->leaves_at = flow->sure_until = clock_.Now() + flow->allowed - kMargin;
-  Count(id, *flow);
-  Report(RequestBodyComplete{id, flow->leaves_at - clock_.Now()});
+  flow->not_replayable = true;  // its pieces went to a host as they came; the first one alone is still here
+  flow->body_source.reset();
+  flow->answer_deadline = flow->retry_deadline = clock_.Now() + flow->client_timeout - kMargin;
+  Accept(id, *flow);
+  Report(RequestBodyComplete{id, flow->answer_deadline - clock_.Now()});
 }
 
-void Gateway::Begun(const std::string& id, std::size_t attempt, Reply reply,
-                    std::shared_ptr<BodySource> rest) {
-  Flow* const flow = Find(id);
-  if (flow == nullptr || flow->answered) return rest->Abandon();
+void Gateway::OnResponseStarted(const std::string& id, std::size_t attempt, ResponseMessage reply,
+                                std::shared_ptr<BodySource> rest) {
+  Exchange* const flow = Find(id);
+  if (flow == nullptr || flow->answered) return rest->Cancel();
   flow->answered = true;
-  flow->overdue.reset();
-  flow->call.reset();
-  const Millis latency = clock_.Now() - std::max(flow->attempts[attempt].sent, flow->whole_at);
-  const auto answer = std::exchange(flow->answer, nullptr);
-  answer({meadowyard::Answer::Kind::kServed, 0, std::move(reply), std::move(rest),
+  flow->deadline_timer.reset();
+  flow->message.reset();
+  const Millis latency = clock_.Now() - std::max(flow->attempts[attempt].sent_at, flow->body_complete_at);
+  const auto answer = std::exchange(flow->on_answer, nullptr);
+  answer({meadowyard::core::Answer::Kind::kServed, 0, std::move(reply), std::move(rest),
           [this, name = flow->class_name](bool whole) {
-            figures_.Ended(name, whole ? Figures::End::kAnswered : Figures::End::kErrored);
+            metrics_.OnRequestFinished(
+                name, whole ? Metrics::RequestResult::kServed : Metrics::RequestResult::kFailed);
           },
           true, nullptr, nullptr});
   Report(ResponseStarted{id, static_cast<int>(attempt), latency});
 }
 
 // Unlike a long answer, a tunnel may end while its client is told: the module hears of its beginning first.
-void Gateway::Opened(const std::string& id, std::size_t attempt, std::unique_ptr<meadowyard::Opened> opened) {
-  Flow* const flow = Find(id);
-  if (flow == nullptr || flow->answered) return Ended(id, attempt, AttemptResult::kCancelled, {});
+void Gateway::OnTunnelOpened(const std::string& id, std::size_t attempt,
+                             std::unique_ptr<meadowyard::core::TunnelEndpoint> opened) {
+  Exchange* const flow = Find(id);
+  if (flow == nullptr || flow->answered) return OnAttemptFinished(id, attempt, AttemptResult::kCancelled, {});
   flow->answered = true;
-  flow->overdue.reset();
-  flow->call.reset();
-  figures_.Sent(flow->class_name);
-  const Millis latency = clock_.Now() - flow->attempts[attempt].sent;
-  const auto answer = std::exchange(flow->answer, nullptr);
+  flow->deadline_timer.reset();
+  flow->message.reset();
+  metrics_.OnAttemptSent(flow->class_name);
+  const Millis latency = clock_.Now() - flow->attempts[attempt].sent_at;
+  const auto answer = std::exchange(flow->on_answer, nullptr);
   Report(ResponseStarted{id, static_cast<int>(attempt), latency});
-  answer({meadowyard::Answer::Kind::kServed,
+  answer({meadowyard::core::Answer::Kind::kServed,
           0,
           {},
           nullptr,
           nullptr,
           true,
           std::move(opened),
-          [this, id, attempt](TunnelEnd end) { Closed(id, attempt, end); }});
+          [this, id, attempt](TunnelEnd end) { OnTunnelClosed(id, attempt, end); }});
 }
 
-void Gateway::Closed(const std::string& id, std::size_t attempt, TunnelEnd end) {
-  Flow* const flow = Find(id);
+void Gateway::OnTunnelClosed(const std::string& id, std::size_t attempt, TunnelEnd end) {
+  Exchange* const flow = Find(id);
   if (flow == nullptr) return;
-  figures_.Ended(flow->class_name, end == TunnelEnd::kEnded    ? Figures::End::kAnswered
-                                   : end == TunnelEnd::kBroken ? Figures::End::kErrored
-                                                               : Figures::End::kLeft);
-  Ended(id, attempt, end == TunnelEnd::kBroken ? AttemptResult::kReset : AttemptResult::kServed, {});
+  metrics_.OnRequestFinished(flow->class_name, end == TunnelEnd::kClosed ? Metrics::RequestResult::kServed
+                                               : end == TunnelEnd::kFailedAtStart
+                                                   ? Metrics::RequestResult::kFailed
+                                                   : Metrics::RequestResult::kUncounted);
+  OnAttemptFinished(id, attempt,
+                    end == TunnelEnd::kFailedAtStart ? AttemptResult::kReset : AttemptResult::kServed, {});
 }
 
 std::function<void(TunnelEnd)> Gateway::AdoptTunnel(const std::string& class_name, const std::string& host) {
-  figures_.Taken();
+  metrics_.OnRequestAccepted();
   Report(TunnelCountChanged{host, 1});
   return [this, class_name, host](TunnelEnd end) {
-    figures_.Ended(class_name, end == TunnelEnd::kPassedOn ? Figures::End::kLeft : Figures::End::kAnswered);
+    metrics_.OnRequestFinished(class_name, end == TunnelEnd::kHandedOver ? Metrics::RequestResult::kUncounted
+                                                                         : Metrics::RequestResult::kServed);
     Report(TunnelCountChanged{host, -1});
   };
 }
 
-void Gateway::Left(const std::string& id) {
-  Flow* const flow = Find(id);
+void Gateway::OnClientDisconnected(const std::string& id) {
+  Exchange* const flow = Find(id);
   if (flow == nullptr || flow->answered) return Report(ClientDisconnected{id});
-  End(*flow, Figures::End::kLeft);  // nothing is owed any more
+  Finish(*flow, Metrics::RequestResult::kUncounted);  // nothing is owed any more
   // What comes up from now on is not written, also where nothing may be cancelled: the first attempt that is
   // ended may be the last of the flow.
   std::vector<std::uint64_t> out;
   for (const Attempt& attempt : flow->attempts) {
-    if (attempt.out) out.push_back(attempt.number);
+    if (attempt.in_flight) out.push_back(attempt.id);
   }
-  for (const std::uint64_t number : out) upstream_.Withdraw(number);
+  for (const std::uint64_t number : out) upstream_.CancelIfUnsent(number);
   Report(ClientDisconnected{id});
 }
 
-void Gateway::Ended(const std::string& id, std::size_t attempt, AttemptResult result, Reply reply) {
-  Flow* const flow = Find(id);
+void Gateway::OnAttemptFinished(const std::string& id, std::size_t attempt, AttemptResult result,
+                                ResponseMessage reply) {
+  Exchange* const flow = Find(id);
   if (flow == nullptr) return;
-  flow->spent = flow->spent || (flow->rest && flow->rest->begun());
+  flow->not_replayable = flow->not_replayable || (flow->body_source && flow->body_source->data_requested());
   Attempt& ended = flow->attempts[attempt];
-  ended.out = false;
-  AttemptOutcome outcome{id,
-                         static_cast<int>(attempt),
-                         ended.host,
-                         result,
-                         false,
-                         clock_.Now() - std::max(ended.sent, std::min(flow->whole_at, clock_.Now())),
-                         ParseLoad(reply.load_report, settings_.load_report_fields),
-                         flow->spent || clock_.Now() >= flow->sure_until};
+  ended.in_flight = false;
+  AttemptOutcome outcome{
+      id,
+      static_cast<int>(attempt),
+      ended.endpoint,
+      result,
+      false,
+      clock_.Now() - std::max(ended.sent_at, std::min(flow->body_complete_at, clock_.Now())),
+      ParseLoad(reply.load_report, settings_.load_report_fields),
+      flow->not_replayable || clock_.Now() >= flow->retry_deadline};
   if (result == AttemptResult::kServed && !flow->answered) {
-    Answer(
-        *flow, Figures::End::kAnswered,
-        {meadowyard::Answer::Kind::kServed, 0, std::move(reply), nullptr, nullptr, true, nullptr, nullptr});
+    Answer(*flow, Metrics::RequestResult::kServed,
+           {meadowyard::core::Answer::Kind::kServed, 0, std::move(reply), nullptr, nullptr, true, nullptr,
+            nullptr});
   }
   Report(std::move(outcome));
 }
 
 // The policy's own timers answer in time; this one is for when they came late.
-void Gateway::Overdue(const std::string& id) {
-  Flow* const flow = Find(id);
+void Gateway::OnDeadline(const std::string& id) {
+  Exchange* const flow = Find(id);
   if (flow == nullptr || flow->answered) return;
-  Answer(*flow, Figures::End::kErrored, Unserved(meadowyard::Answer::Kind::kOverdue));
+  Answer(*flow, Metrics::RequestResult::kFailed, Unserved(meadowyard::core::Answer::Kind::kTimedOut));
   Report(ClientDisconnected{id});
 }
 
@@ -237,7 +246,8 @@
     try {
       Handle(next);
     } catch (...) {  // out of memory, perhaps: the module's time goes on all the same
-      if (const auto* const timer = std::get_if<TimerExpired>(&next)) Do(SetTimer{kTimerAgain, timer->name});
+      if (const auto* const timer = std::get_if<TimerExpired>(&next))
+        Execute(SetTimer{kTimerAgain, timer->name});
       throw;
     }
   }
@@ -248,24 +258,24 @@
   std::vector<Action> actions;
   if (const auto* const told = std::get_if<AttemptOutcome>(&event)) {
     AttemptOutcome outcome = *told;
-    const Flow* const flow = Find(id);
+    const Exchange* const flow = Find(id);
     outcome.request_finished = flow == nullptr || flow->answered;
     policy_.Handle(clock_.Now(), outcome, actions);
   } else {
     policy_.Handle(clock_.Now(), event, actions);
   }
   for (const Action& action : actions) {
-    std::visit([this](const auto& a) { Do(a); }, action);
+    std::visit([this](const auto& a) { Execute(a); }, action);
   }
-  Settle(id);
+  ReleaseIfFinished(id);
 }
 
-void Gateway::Do(const StartAttempt& send) {
-  Flow* const flow = Find(send.request);
+void Gateway::Execute(const StartAttempt& send) {
+  Exchange* const flow = Find(send.request);
   const Millis now = clock_.Now();
   // Its client's end may lie in the socket unread: what came first, a chance to send or that end, is no
   // matter.
-  if (flow != nullptr && !flow->answered && !Wanted(flow)) Left(send.request);
+  if (flow != nullptr && !flow->answered && !IsAwaited(flow)) OnClientDisconnected(send.request);
   // A request that is over, or one attempt too many, is never sent, whatever was decided a moment ago.
   if (flow == nullptr || flow->answered ||
       static_cast<int>(flow->attempts.size()) >= settings_.max_attempts) {
@@ -277,90 +287,93 @@
   flow->attempts.push_back({send.endpoint, now});
   // A host is told no more time than is left to the client. Where it may have waited unread for longer than
   // is known the first attempt has what it may have; a further one, what it surely has.
-  const Millis last = index == 0 ? flow->leaves_at : flow->sure_until;
+  const Millis last = index == 0 ? flow->answer_deadline : flow->retry_deadline;
   const Millis until = send.timeout > 0 ? std::min(now + send.timeout, last) : last;
-  Errand errand;
-  errand.call = flow->call;
-  errand.rest = flow->rest;
+  AttemptRequest errand;
+  errand.message = flow->message;
+  errand.body_source = flow->body_source;
   errand.deadline = until;
   errand.wanted = [this, id = send.request, server = send.endpoint] {
-    return Wanted(Find(id)) && policy_.IsEligible(server, id);
+    return IsAwaited(Find(id)) && policy_.IsEligible(server, id);
   };
-  errand.written = [this, name = flow->class_name] { figures_.Sent(name); };
-  errand.begun = [this, id = send.request, index](Reply reply, std::shared_ptr<BodySource> rest) {
-    Begun(id, index, std::move(reply), std::move(rest));
+  errand.written = [this, name = flow->class_name] { metrics_.OnAttemptSent(name); };
+  errand.begun = [this, id = send.request, index](ResponseMessage reply, std::shared_ptr<BodySource> rest) {
+    OnResponseStarted(id, index, std::move(reply), std::move(rest));
   };
-  if (flow->tunnel) {
-    errand.opened = [this, id = send.request, index](std::unique_ptr<meadowyard::Opened> opened) {
-      Opened(id, index, std::move(opened));
+  if (flow->is_tunnel) {
+    errand.opened = [this, id = send.request,
+                     index](std::unique_ptr<meadowyard::core::TunnelEndpoint> opened) {
+      OnTunnelOpened(id, index, std::move(opened));
     };
   }
-  errand.done = [this, id = send.request, index](AttemptResult result, Reply reply) {
-    Ended(id, index, result, std::move(reply));
+  errand.done = [this, id = send.request, index](AttemptResult result, ResponseMessage reply) {
+    OnAttemptFinished(id, index, result, std::move(reply));
   };
   const std::uint64_t number = upstream_.Start(send.endpoint, std::move(errand));
-  if (Flow* const still = Find(send.request)) still->attempts[index].number = number;
+  if (Exchange* const still = Find(send.request)) still->attempts[index].id = number;
 }
 
-void Gateway::Do(const Reject& refuse) {
-  Flow* const flow = Find(refuse.request);
+void Gateway::Execute(const Reject& refuse) {
+  Exchange* const flow = Find(refuse.request);
   if (flow == nullptr) return;
-  Answer(*flow, Figures::End::kDeferred, Unserved(meadowyard::Answer::Kind::kRefused, refuse.retry_after));
-  Settle(refuse.request);
+  Answer(*flow, Metrics::RequestResult::kRejected,
+         Unserved(meadowyard::core::Answer::Kind::kRejected, refuse.retry_after));
+  ReleaseIfFinished(refuse.request);
 }
 
-void Gateway::Do(const Fail& fail) {
-  Flow* const flow = Find(fail.request);
+void Gateway::Execute(const Fail& fail) {
+  Exchange* const flow = Find(fail.request);
   if (flow == nullptr) return;
-  Answer(*flow, Figures::End::kErrored, Unserved(meadowyard::Answer::Kind::kFailed));
-  Settle(fail.request);
+  Answer(*flow, Metrics::RequestResult::kFailed, Unserved(meadowyard::core::Answer::Kind::kFailed));
+  ReleaseIfFinished(fail.request);
 }
 
-void Gateway::Do(const CancelAttempt& cancel) {
-  Flow* const flow = Find(cancel.request);
+void Gateway::Execute(const CancelAttempt& cancel) {
+  Exchange* const flow = Find(cancel.request);
   const auto attempt = static_cast<std::size_t>(cancel.attempt);
-  if (flow != nullptr && attempt < flow->attempts.size()) upstream_.Cancel(flow->attempts[attempt].number);
+  if (flow != nullptr && attempt < flow->attempts.size()) upstream_.Cancel(flow->attempts[attempt].id);
 }
 
-void Gateway::Do(const SetTimer& timer) {
-  timers_[timer.name] = clock_.After(timer.delay, [this, name = timer.name] { Report(TimerExpired{name}); });
+void Gateway::Execute(const SetTimer& timer) {
+  timers_[timer.name] =
+      clock_.StartTimer(timer.delay, [this, name = timer.name] { Report(TimerExpired{name}); });
 }
 
-void Gateway::Do(const PollEndpoints&) { handlers_.watch(); }
+void Gateway::Execute(const PollEndpoints&) { handlers_.poll_endpoints(); }
 
-void Gateway::Do(const Log& log) { handlers_.log(log); }
+void Gateway::Execute(const Log& log) { handlers_.log(log); }
 
-Gateway::Flow* Gateway::Find(const std::string& id) {
-  const auto found = flows_.find(id);
-  return found == flows_.end() ? nullptr : &found->second;
+Gateway::Exchange* Gateway::Find(const std::string& id) {
+  const auto found = exchanges_.find(id);
+  return found == exchanges_.end() ? nullptr : &found->second;
 }
 
 // Somebody waits for its answer.
-bool Gateway::Wanted(const Flow* flow) const {
-  return flow != nullptr && !flow->answered && !(flow->gone && flow->gone());
+bool Gateway::IsAwaited(const Exchange* flow) const {
+  return flow != nullptr && !flow->answered && !(flow->has_disconnected && flow->has_disconnected());
 }
 
-void Gateway::Answer(Flow& flow, Figures::End end, meadowyard::Answer answer) {
+void Gateway::Answer(Exchange& flow, Metrics::RequestResult end, meadowyard::core::Answer answer) {
   if (flow.answered) return;
-  End(flow, end);
-  answer.tried = !flow.attempts.empty();
-  std::exchange(flow.answer, nullptr)(std::move(answer));
+  Finish(flow, end);
+  answer.attempted = !flow.attempts.empty();
+  std::exchange(flow.on_answer, nullptr)(std::move(answer));
 }
 
-void Gateway::End(Flow& flow, Figures::End end) {
+void Gateway::Finish(Exchange& flow, Metrics::RequestResult end) {
   flow.answered = true;
-  flow.overdue.reset();
-  flow.call.reset();  // attempts that are still out have their own
-  figures_.Ended(flow.class_name, end, flow.counted);
+  flow.deadline_timer.reset();
+  flow.message.reset();  // attempts that are still out have their own
+  metrics_.OnRequestFinished(flow.class_name, end, flow.accepted);
 }
 
-void Gateway::Settle(const std::string& id) {
-  const auto found = flows_.find(id);
-  if (found == flows_.end() || !found->second.answered) return;
+void Gateway::ReleaseIfFinished(const std::string& id) {
+  const auto found = exchanges_.find(id);
+  if (found == exchanges_.end() || !found->second.answered) return;
   const auto& attempts = found->second.attempts;
-  if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; })) {
-    flows_.erase(found);
+  if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; })) {
+    exchanges_.erase(found);
   }
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::core
--- a/src/core/message.cpp
+++ b/src/core/message.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>
 
-namespace meadowyard {
+namespace meadowyard::core {
 
-bool EqualNames(std::string_view a, std::string_view b) {
+bool EqualFieldNames(std::string_view a, std::string_view b) {
   const auto lower = [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c | 0x20) : c; };
   return a.size() == b.size() &&
          std::equal(a.begin(), a.end(), b.begin(), [&](char x, char y) { return lower(x) == lower(y); });
@@ -22,19 +22,19 @@
 }
 
 void Fields::Erase(std::string_view name) {
-  std::erase_if(entries_, [&](const Entry& e) { return EqualNames(NameOf(e), name); });
+  std::erase_if(entries_, [&](const Entry& e) { return EqualFieldNames(NameOf(e), name); });
 }
 
 std::string_view Fields::Get(std::string_view name) const {
   for (const Entry& e : entries_) {
-    if (EqualNames(NameOf(e), name)) return ValueOf(e);
+    if (EqualFieldNames(NameOf(e), name)) return ValueOf(e);
   }
   return {};
 }
 
 std::size_t Fields::Count(std::string_view name) const {
-  return static_cast<std::size_t>(std::count_if(entries_.begin(), entries_.end(),
-                                                [&](const Entry& e) { return EqualNames(NameOf(e), name); }));
+  return static_cast<std::size_t>(std::count_if(
+      entries_.begin(), entries_.end(), [&](const Entry& e) { return EqualFieldNames(NameOf(e), name); }));
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::core
--- a/src/core/message.hpp
+++ b/src/core/message.hpp
@@ -12,10 +12,10 @@
 #include <vector>
 
 #include "core/body_source.hpp"
-#include "core/opened.hpp"
+#include "core/tunnel_endpoint.hpp"
 #include "meadowyard/policy.hpp"
 
-namespace meadowyard {
+namespace meadowyard::core {
 
 // Fields in the order they came in, found by name whatever the case (RFC 9110, section 5.1). All texts lie in
 // one block: a message costs two allocations however many fields it has. Views last until the next change.
@@ -49,10 +49,10 @@
   std::vector<Entry> entries_;
 };
 
-bool EqualNames(std::string_view a, std::string_view b);
+bool EqualFieldNames(std::string_view a, std::string_view b);
 
 // What goes to a host.
-struct Call {
+struct RequestMessage {
   std::string method = "GET";
   std::string target;
   Fields fields;
@@ -60,7 +60,7 @@
 };
 
 // What a host gave back, without what concerned its connection alone.
-struct Reply {
+struct ResponseMessage {
   Fields fields;
   std::string body;         // all of it, or the first of one whose rest is a BodySource
   std::string load_report;  // "name=value,..." as the host sent it; empty if it sent none
@@ -69,38 +69,40 @@
 // The one final answer that a front gives its client.
 struct Answer {
   enum class Kind {
-    kServed,   // `reply` is the host's
-    kRefused,  // trying again is harmless; `retry_after` says when, if it is above 0
-    kFailed,   // it may or may not have run
-    kOverdue,  // the same, given up for lack of time
-    kInUse,    // another open request has this id: never taken
+    kServed,       // `reply` is the host's
+    kRejected,     // trying again is harmless; `retry_after` says when, if it is above 0
+    kFailed,       // it may or may not have run
+    kTimedOut,     // the same, given up for lack of time
+    kDuplicateId,  // another open request has this id: never taken
   };
   Kind kind = Kind::kServed;
   Millis retry_after = 0;
-  Reply reply;
-  std::shared_ptr<BodySource> rest;        // of a long answer's body; null: the answer is whole
-  std::function<void(bool whole)> passed;  // for one with a rest: all of it has gone to the client, or not
-  bool tried = false;                      // some attempt was made
-  std::unique_ptr<Opened> opened;          // for a tunnel that is served: the host's end
-  std::function<void(TunnelEnd)> closed;   // for that one: to be called once, when it has ended
+  ResponseMessage response;
+  std::shared_ptr<BodySource> body_source;  // of a long answer's body; null: the answer is whole
+  std::function<void(bool whole)>
+      on_delivered;        // for one with a rest: all of it has gone to the client, or not
+  bool attempted = false;  // some attempt was made
+  std::unique_ptr<TunnelEndpoint> tunnel_endpoint;  // for a tunnel that is served: the host's end
+  std::function<void(TunnelEnd)> on_tunnel_closed;  // for that one: to be called once, when it has ended
 };
 
 // A client's well-formed request, as a front hands it to the core.
 struct ClientRequest {
-  Call call;
+  RequestMessage message;
   std::string id, class_name, tenant, key;
-  Idempotency effect = Idempotency::kNonIdempotent;  // as which the client made it
-  bool retry = false;                                // the client's own further try
-  bool tunnel = false;                               // its answer is an open way to a host
-  std::string only;                                  // the one host that it may go to; empty: any
-  Millis received = 0;                               // when its last byte was read
-  Millis sent_after = 0;                             // no sooner did it come; 0: as it was received
-  Millis allowed = 0;                                // how long the client waits, from when it sent it
-  std::shared_ptr<BodySource> rest;                  // of a body that is not whole yet; null if it is
-  std::function<void(Answer)> answer;                // to be called once; what follows is dropped
-  std::function<bool()> gone;  // whether its client has left, though nobody was told yet; may be null
+  Idempotency idempotency = Idempotency::kNonIdempotent;  // as which the client made it
+  bool is_retry = false;                                  // the client's own further try
+  bool is_tunnel = false;                                 // its answer is an open way to a host
+  std::string pinned_endpoint;                            // the one host that it may go to; empty: any
+  Millis received_at = 0;                                 // when its last byte was read
+  Millis earliest_sent_at = 0;                            // no sooner did it come; 0: as it was received
+  Millis client_timeout = 0;                              // how long the client waits, from when it sent it
+  std::shared_ptr<BodySource> body_source;                // of a body that is not whole yet; null if it is
+  std::function<void(Answer)> on_answer;                  // to be called once; what follows is dropped
+  std::function<bool()>
+      has_disconnected;  // whether its client has left, though nobody was told yet; may be null
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::core
 
 #endif  // MEADOWYARD_CORE_MESSAGE_HPP_
--- a/src/core/figures.cpp
+++ b/src/core/metrics.cpp
@@ -1,15 +1,15 @@
-#include "core/figures.hpp"
+#include "core/metrics.hpp"
 
 #include <nlohmann/json.hpp>
 
-namespace meadowyard {
+namespace meadowyard::core {
 namespace {
 
 constexpr std::size_t kMostClasses = 256;  // with those that were dropped: files may name ever new ones
 
 }  // namespace
 
-void Figures::Know(const std::vector<TrafficClassSettings>& classes) {
+void Metrics::SetClasses(const std::vector<TrafficClassSettings>& classes) {
   for (auto& [name, counts] : classes_) counts.known = false;
   for (const TrafficClassSettings& c : classes) classes_[c.name].known = true;
   for (auto it = classes_.begin(); it != classes_.end() && classes_.size() > kMostClasses;) {
@@ -17,20 +17,20 @@
   }
 }
 
-void Figures::Ended(const std::string& class_name, End end, bool taken) {
+void Metrics::OnRequestFinished(const std::string& class_name, RequestResult end, bool taken) {
   if (taken) --current_;
   Counts& counts = classes_[class_name];
-  if (end == End::kAnswered) ++counts.answered;
-  if (end == End::kDeferred) ++counts.deferred;
-  if (end == End::kErrored) ++counts.errored;
+  if (end == RequestResult::kServed) ++counts.answered;
+  if (end == RequestResult::kRejected) ++counts.deferred;
+  if (end == RequestResult::kFailed) ++counts.errored;
 }
 
-void Figures::Sent(const std::string& class_name) {
+void Metrics::OnAttemptSent(const std::string& class_name) {
   ++sends_;
   ++classes_[class_name].sends;
 }
 
-std::string Figures::ToJson(const Policy::Stats& hosts) const {
+std::string Metrics::ToJson(const Policy::Stats& hosts) const {
   nlohmann::json classes = nlohmann::json::object();
   for (const auto& [name, c] : classes_) {
     classes[name] = {
@@ -47,4 +47,4 @@
   return figures.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::core
--- a/src/core/figures.hpp
+++ b/src/core/metrics.hpp
@@ -1,7 +1,7 @@
 // What the gateway counts for its operators. Counted where a request is taken and where it ends, and nowhere
 // else; all counts begin at 0 with the process.
-#ifndef MEADOWYARD_FIGURES_HPP_
-#define MEADOWYARD_FIGURES_HPP_
+#ifndef MEADOWYARD_CORE_METRICS_HPP_
+#define MEADOWYARD_CORE_METRICS_HPP_
 
 #include <cstdint>
 #include <map>
@@ -10,21 +10,21 @@
 
 #include "meadowyard/policy.hpp"
 
-namespace meadowyard {
+namespace meadowyard::core {
 
-class Figures {
+class Metrics {
  public:
   // How a request ended: served, refused or failed; or its client left, which counts under none.
-  enum class End { kAnswered, kDeferred, kErrored, kLeft };
+  enum class RequestResult { kServed, kRejected, kFailed, kUncounted };
 
   // The classes that are shown though nothing was asked of them yet.
-  void Know(const std::vector<TrafficClassSettings>& classes);
+  void SetClasses(const std::vector<TrafficClassSettings>& classes);
 
-  void Taken() { ++current_; }
+  void OnRequestAccepted() { ++current_; }
   // `taken`: whether the request was counted as taken before.
-  void Ended(const std::string& class_name, End end, bool taken = true);
+  void OnRequestFinished(const std::string& class_name, RequestResult end, bool taken = true);
   // An attempt was written whole to a host.
-  void Sent(const std::string& class_name);
+  void OnAttemptSent(const std::string& class_name);
   // A file was taken, or turned down, at SIGHUP.
   void Configured(bool taken) { ++(taken ? loaded_ : invalid_); }
 
@@ -39,6 +39,6 @@
   std::uint64_t current_ = 0, sends_ = 0, loaded_ = 0, invalid_ = 0;
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::core
 
-#endif  // MEADOWYARD_FIGURES_HPP_
+#endif  // MEADOWYARD_CORE_METRICS_HPP_
--- a/src/core/upstream.hpp
+++ b/src/core/upstream.hpp
@@ -9,35 +9,35 @@
 
 #include "core/message.hpp"
 
-namespace meadowyard {
+namespace meadowyard::core {
 
 // One attempt: what is sent, and who is told of its course.
-struct Errand {
-  std::shared_ptr<const Call> call;
-  std::shared_ptr<BodySource> rest;  // of its body, where that is still coming
-  Millis deadline = 0;               // of the whole attempt; with a rest, as long after that is whole
+struct AttemptRequest {
+  std::shared_ptr<const RequestMessage> message;
+  std::shared_ptr<BodySource> body_source;  // of its body, where that is still coming
+  Millis deadline = 0;                      // of the whole attempt; with a rest, as long after that is whole
   // Asked once the way to the host is open: whether anyone still waits for the answer.
   std::function<bool()> wanted = [] { return true; };
   std::function<void()> written = [] {};  // it was written whole
   // Its answer is a long one: the head with the first piece of the body, and the rest. `done` still follows.
-  std::function<void(Reply, std::shared_ptr<BodySource>)> begun;
+  std::function<void(ResponseMessage, std::shared_ptr<BodySource>)> begun;
   // For a tunnel: the way to the host is open, and belongs to whoever is told. `done` does not follow.
-  std::function<void(std::unique_ptr<Opened>)> opened;
+  std::function<void(std::unique_ptr<TunnelEndpoint>)> opened;
   // How it ended; the reply is the host's, if there was one. Called once, perhaps before Start returns.
-  std::function<void(AttemptResult, Reply)> done;
+  std::function<void(AttemptResult, ResponseMessage)> done;
 };
 
 class Upstream {
  public:
   virtual ~Upstream() = default;
   // Sends the call unless the host is not to be used any more. Returns a number for Cancel.
-  virtual std::uint64_t Start(const std::string& host, Errand errand) = 0;
+  virtual std::uint64_t Start(const std::string& host, AttemptRequest errand) = 0;
   // Ends an attempt that is still out, with kCancelled.
   virtual void Cancel(std::uint64_t attempt) = 0;
   // Ends an attempt of which its host has not been sent all, with kNotSent, and leaves any other alone.
-  virtual void Withdraw(std::uint64_t attempt) = 0;
+  virtual void CancelIfUnsent(std::uint64_t attempt) = 0;
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::core
 
 #endif  // MEADOWYARD_CORE_UPSTREAM_HPP_
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -10,7 +10,7 @@
 #include "core/clock.hpp"
 #include "discovery/times.hpp"
 
-namespace meadowyard {
+namespace meadowyard::discovery {
 namespace {
 
 namespace asio = boost::asio;
@@ -32,9 +32,9 @@
   throw std::invalid_argument("phase");
 }
 
-Host ToHost(const json& entry) {
-  Host host;
-  Endpoint& server = host.server;
+EndpointRecord ToHost(const json& entry) {
+  EndpointRecord host;
+  Endpoint& server = host.endpoint;
   server.id = entry.at("id").get<std::string>();
   if (server.id.empty()) throw std::invalid_argument("id");
   server.state = ToState(entry.at("phase").get<std::string>());
@@ -43,7 +43,7 @@
   if (entry.contains("cell")) server.cell = entry["cell"].dump();
   server.weight = entry.value("size", 1.0);
   server.started_at = entry.value("up_since_ms", 0.0);
-  const auto address = ParseEndpoint(entry.value("host_port", ""));
+  const auto address = ParseAddress(entry.value("host_port", ""));
   if (!address && server.state != EndpointState::kRemoved) throw std::invalid_argument("host_port");
   if (address) host.address = *address;
   return host;
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-std::optional<tcp::endpoint> ParseEndpoint(const std::string& text) {
+std::optional<tcp::endpoint> ParseAddress(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos) return std::nullopt;
   error_code ec;
@@ -63,16 +63,16 @@
   return tcp::endpoint(address, port);
 }
 
-std::string ToText(const tcp::endpoint& endpoint) {
+std::string FormatAddress(const tcp::endpoint& endpoint) {
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
 
-std::string ToText(const HostList& list) {
+std::string SerializeEndpointList(const EndpointList& list) {
   json members = json::array();
-  for (const Host& host : list.hosts) {
-    const Endpoint& s = host.server;
+  for (const EndpointRecord& host : list.endpoints) {
+    const Endpoint& s = host.endpoint;
     members.push_back({{"id", s.id},
-                       {"host_port", ToText(host.address)},
+                       {"host_port", FormatAddress(host.address)},
                        {"locality", s.zone},
                        {"flavor", s.kind},
                        {"phase", s.state == EndpointState::kUp         ? "up"
@@ -84,17 +84,17 @@
     members.back()["cell"] = json::parse(s.cell, nullptr, false);
     if (s.cell.empty()) members.back().erase("cell");
   }
-  return json{{"revision", list.revision}, {"complete", list.complete}, {"members", members}}.dump(
+  return json{{"revision", list.revision}, {"complete", list.is_snapshot}, {"members", members}}.dump(
       -1, ' ', false, json::error_handler_t::replace);
 }
 
-std::optional<HostList> ParseHostList(std::string_view text) {
+std::optional<EndpointList> ParseEndpointList(std::string_view text) {
   try {
     const json parsed = json::parse(text);
-    HostList list;
+    EndpointList list;
     list.revision = parsed.at("revision").get<std::int64_t>();
-    list.complete = parsed.at("complete").get<bool>();
-    for (const json& entry : parsed.at("members")) list.hosts.push_back(ToHost(entry));
+    list.is_snapshot = parsed.at("complete").get<bool>();
+    for (const json& entry : parsed.at("members")) list.endpoints.push_back(ToHost(entry));
     return list;
   } catch (const json::exception&) {
     return std::nullopt;
@@ -104,11 +104,11 @@
 }
 
 // One call and all that its handlers use, so that those of a call given up touch nothing of the next.
-struct Discovery::Call {
+struct DiscoveryClient::Call {
   Call(asio::io_context& io, std::optional<std::int64_t> revision) : timer(io), after(revision) {
     parser.body_limit(kMostList);
   }
-  const Millis begun = Now();
+  const Millis begun = core::Now();
   Millis due = 0;
   bool spared = false;  // its time was over, but the loop had stood still
   asio::steady_timer timer;
@@ -118,18 +118,18 @@
   boost::beast::flat_buffer buffer;
 };
 
-Discovery::Discovery(asio::io_context& io, tcp::endpoint address, std::optional<std::int64_t> revision,
-                     Handlers handlers)
-    : io_(io), address_(address), revision_(revision), handlers_(std::move(handlers)), pause_(io) {
+DiscoveryClient::DiscoveryClient(asio::io_context& io, tcp::endpoint address,
+                                 std::optional<std::int64_t> revision, Callbacks handlers)
+    : io_(io), address_(address), revision_(revision), callbacks_(std::move(handlers)), pause_(io) {
   Renew();
 }
 
-void Discovery::Watch() {
+void DiscoveryClient::Start() {
   if (std::exchange(watching_, true)) return;  // asking again would be one more call on a shared service
   Ask();
 }
 
-void Discovery::Move(const tcp::endpoint& address) {
+void DiscoveryClient::SetAddress(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
   revision_.reset();
@@ -139,7 +139,7 @@
   Ask();
 }
 
-bool Discovery::AskAnew(Millis since) {
+bool DiscoveryClient::PollAgainSince(Millis since) {
   if (!watching_) return false;
   if (!connected_ || connected_at_ > since) return true;  // the call has yet to be written, or just was
   ++moves_;
@@ -148,46 +148,47 @@
   return true;
 }
 
-void Discovery::Rest() {
+void DiscoveryClient::Stop() {
   ++moves_;
   Drop();
   watching_ = false;
 }
 
 // Fails the call unless it has come on by then.
-void Discovery::Expect(const std::shared_ptr<Call>& call, Millis within) {
-  call->due = Now() + within;
-  call->timer.expires_after(Span(within));
+void DiscoveryClient::Expect(const std::shared_ptr<Call>& call, Millis within) {
+  call->due = core::Now() + within;
+  call->timer.expires_after(core::ToDuration(within));
   call->timer.async_wait([this, call](error_code ec) {
     // One that was due already when the call came on is told all the same.
-    if (ec || Now() < call->due - kTimerEarly) return;
+    if (ec || core::Now() < call->due - kTimerEarly) return;
     // One that comes late tells of this process, not of discovery: the answer may lie in the socket, unread
     // as the timer was.
-    if (Now() - call->due > kTimerLate && !std::exchange(call->spared, true)) return Expect(call, kToRead);
+    if (core::Now() - call->due > kTimerLate && !std::exchange(call->spared, true))
+      return Expect(call, kToRead);
     Fail(call);
   });
 }
 
-void Discovery::Ask() {
+void DiscoveryClient::Ask() {
   const auto call = call_ = std::make_shared<Call>(io_, revision_);
   if (connected_) {
-    Expect(call, kWait + kSilence);
-    return Connected(call, kWait);
+    Expect(call, kLongPollWait + kLongPollGrace);
+    return Connected(call, kLongPollWait);
   }
-  Expect(call, kDial);
+  Expect(call, kConnectTimeout);
   socket_->async_connect(address_, [this, call, socket = socket_](error_code ec) {
     if (call != call_) return;
     if (ec) return Fail(call);
     connected_ = true;
-    connected_at_ = Now();
+    connected_at_ = core::Now();
     error_code ignored;
     socket->set_option(tcp::no_delay(true), ignored);
-    Expect(call, kFirstAnswer);
-    Connected(call, kFirstWait);
+    Expect(call, kFirstPollTimeout);
+    Connected(call, kFirstPollWait);
   });
 }
 
-void Discovery::Connected(const std::shared_ptr<Call>& call, Millis wait) {
+void DiscoveryClient::Connected(const std::shared_ptr<Call>& call, Millis wait) {
   call->request.method(http::verb::get);
   std::string target = "/discovery/hosts";
   if (call->after) {
@@ -207,12 +208,12 @@
   });
 }
 
-void Discovery::Answered(const std::shared_ptr<Call>& call) {
+void DiscoveryClient::Answered(const std::shared_ptr<Call>& call) {
   const auto& answer = call->parser.get();
-  auto list = answer.result() == http::status::ok ? ParseHostList(answer.body()) : std::nullopt;
+  auto list = answer.result() == http::status::ok ? ParseEndpointList(answer.body()) : std::nullopt;
   if (!list) return Fail(call);
   // Changes to a list that is not the one held would leave hosts that have gone.
-  if (!list->complete && (!call->after || list->revision < *call->after)) {
+  if (!list->is_snapshot && (!call->after || list->revision < *call->after)) {
     revision_.reset();
     return Fail(call);
   }
@@ -220,26 +221,26 @@
   call_.reset();
   if (!answer.keep_alive()) Renew();
   // A discovery that answers at once, as an agent with pushed lists does, must not be asked in a tight loop.
-  pause_.expires_after(Span(kCallGap - (Now() - call->begun)));
+  pause_.expires_after(core::ToDuration(kCallGap - (core::Now() - call->begun)));
   pause_.async_wait([this, moves = moves_](error_code ec) {
     if (!ec && moves == moves_) Ask();
   });
   // Last: news that could not be taken in is asked for again.
   const std::int64_t revision = list->revision;
-  handlers_.told(std::move(*list));
+  callbacks_.on_update(std::move(*list));
   revision_ = revision;
 }
 
-void Discovery::Fail(const std::shared_ptr<Call>& call) {
+void DiscoveryClient::Fail(const std::shared_ptr<Call>& call) {
   if (call != call_) return;
   Drop();
   watching_ = false;
-  handlers_.failed();
+  callbacks_.on_failure();
 }
 
 // Ends the call and the connection; whatever of them is still on its way finds that it is not the current
 // one.
-void Discovery::Drop() {
+void DiscoveryClient::Drop() {
   if (call_) call_->timer.cancel();
   call_.reset();
   Renew();
@@ -247,7 +248,7 @@
 
 // The next connection's descriptor is taken as the last one's is given back: whoever fills up the others,
 // there is one to learn by that hosts leave.
-void Discovery::Renew() {
+void DiscoveryClient::Renew() {
   error_code ignored;
   if (socket_) socket_->close(ignored);
   connected_ = false;
@@ -255,4 +256,4 @@
   socket_->open(address_.protocol(), ignored);  // the dial tries again, and tells
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::discovery
--- a/src/discovery/discovery.hpp
+++ b/src/discovery/discovery.hpp
@@ -15,50 +15,50 @@
 
 #include "meadowyard/policy.hpp"
 
-namespace meadowyard {
+namespace meadowyard::discovery {
 
-struct Host {
-  Endpoint server;
+struct EndpointRecord {
+  Endpoint endpoint;
   boost::asio::ip::tcp::endpoint address;
 };
 
-struct HostList {
+struct EndpointList {
   std::int64_t revision = 0;
-  bool complete = true;  // else only what changed
-  std::vector<Host> hosts;
+  bool is_snapshot = true;  // else only what changed
+  std::vector<EndpointRecord> endpoints;
 };
 
 // "10.1.0.18:3000"; nothing if it is anything else.
-std::optional<boost::asio::ip::tcp::endpoint> ParseEndpoint(const std::string& text);
-std::string ToText(const boost::asio::ip::tcp::endpoint& endpoint);
+std::optional<boost::asio::ip::tcp::endpoint> ParseAddress(const std::string& text);
+std::string FormatAddress(const boost::asio::ip::tcp::endpoint& endpoint);
 // A list in discovery's form.
-std::string ToText(const HostList& list);
+std::string SerializeEndpointList(const EndpointList& list);
 // Nothing if the text is broken in any part: half a list must not pass for a whole one.
-std::optional<HostList> ParseHostList(std::string_view text);
+std::optional<EndpointList> ParseEndpointList(std::string_view text);
 
-class Discovery {
+class DiscoveryClient {
  public:
-  struct Handlers {
-    std::function<void(HostList)> told;
-    std::function<void()> failed;  // the watch has ended; Watch() begins a new one
+  struct Callbacks {
+    std::function<void(EndpointList)> on_update;
+    std::function<void()> on_failure;  // the watch has ended; Watch() begins a new one
   };
   // Without a revision the whole list is asked for first.
-  Discovery(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
-            std::optional<std::int64_t> revision, Handlers handlers);
+  DiscoveryClient(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
+                  std::optional<std::int64_t> revision, Callbacks handlers);
 
   // Begins a watch, from the last revision known; does nothing while one is on.
-  void Watch();
+  void Start();
   // Discovery is elsewhere from now on: what the old one still says is dropped, and the whole list is asked
   // for.
-  void Move(const boost::asio::ip::tcp::endpoint& address);
+  void SetAddress(const boost::asio::ip::tcp::endpoint& address);
 
   // Asks anew from the last revision known, on a connection that came up after `since`, whatever the call
   // that is on would bring, and when. False: nothing is watched here.
-  bool AskAnew(Millis since);
+  bool PollAgainSince(Millis since);
   // Ends the watch, if one is on, without a word; Watch() begins it again.
-  void Rest();
+  void Stop();
   // The list is known up to here from elsewhere.
-  void Known(std::int64_t revision) { revision_ = revision; }
+  void SetRevision(std::int64_t revision) { revision_ = revision; }
 
   const boost::asio::ip::tcp::endpoint& address() const { return address_; }
   std::optional<std::int64_t> revision() const { return revision_; }
@@ -77,7 +77,7 @@
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
   std::optional<std::int64_t> revision_;  // none yet from this discovery: its numbers are its own
-  const Handlers handlers_;
+  const Callbacks callbacks_;
   std::shared_ptr<boost::asio::ip::tcp::socket> socket_;  // always open; kept between the calls of a watch
   bool connected_ = false;
   Millis connected_at_ = 0;
@@ -87,6 +87,6 @@
   bool watching_ = false;
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::discovery
 
 #endif  // MEADOWYARD_DISCOVERY_HPP_
--- a/src/duties/list_duty.cpp
+++ b/src/duties/list_duty.cpp
@@ -79,8 +79,8 @@
   std::erase_if(parts_, of_another);
   parts_.push_back(part);
   if (parts_.size() < part.parts) return;
-  HostList list{part.revision, part.complete, {}};
-  for (ListPart& p : parts_) list.hosts.insert(list.hosts.end(), p.hosts.begin(), p.hosts.end());
+  discovery::EndpointList list{part.revision, part.complete, {}};
+  for (ListPart& p : parts_) list.endpoints.insert(list.endpoints.end(), p.hosts.begin(), p.hosts.end());
   parts_.clear();
   ++taken_;
   revision_ = list.revision;
@@ -90,34 +90,35 @@
 
 void ListDuty::Hear(Millis now, int from, const ListWanted& wanted) {
   if (!lease_.Holds(now) || !revision_ || wanted.token > lease_.token()) return;
-  HostList whole = handlers_.whole();
+  discovery::EndpointList whole = handlers_.whole();
   whole.revision = *revision_;
-  whole.complete = true;
+  whole.is_snapshot = true;
   SendList(from, whole, *revision_);
 }
 
-void ListDuty::SendList(int to, const HostList& list, std::int64_t after) {
-  const std::size_t parts = std::max<std::size_t>(1, (list.hosts.size() + kHostsInAPart - 1) / kHostsInAPart);
+void ListDuty::SendList(int to, const discovery::EndpointList& list, std::int64_t after) {
+  const std::size_t parts =
+      std::max<std::size_t>(1, (list.endpoints.size() + kHostsInAPart - 1) / kHostsInAPart);
   for (std::size_t i = 0; i < parts; ++i) {
     ListPart part{lease_.token(),
                   list.revision,
                   after,
-                  list.complete,
+                  list.is_snapshot,
                   static_cast<std::uint32_t>(i),
                   static_cast<std::uint32_t>(parts),
                   {}};
-    const auto first = list.hosts.begin() + static_cast<std::ptrdiff_t>(i * kHostsInAPart);
-    const auto last = list.hosts.begin() +
-                      static_cast<std::ptrdiff_t>(std::min(list.hosts.size(), (i + 1) * kHostsInAPart));
+    const auto first = list.endpoints.begin() + static_cast<std::ptrdiff_t>(i * kHostsInAPart);
+    const auto last = list.endpoints.begin() +
+                      static_cast<std::ptrdiff_t>(std::min(list.endpoints.size(), (i + 1) * kHostsInAPart));
     part.hosts.assign(first, last);
     handlers_.send(to, part);
     ++passed_on_;
   }
 }
 
-void ListDuty::Told(Millis now, const HostList& list) {
+void ListDuty::Told(Millis now, const discovery::EndpointList& list) {
   const std::optional<std::int64_t> before = std::exchange(revision_, list.revision);
-  if (!lease_.Holds(now) || (list.hosts.empty() && !list.complete)) return;
+  if (!lease_.Holds(now) || (list.endpoints.empty() && !list.is_snapshot)) return;
   for (int g = 0; g < gateways_; ++g) {
     if (g != self_) SendList(g, list, before.value_or(std::numeric_limits<std::int64_t>::min()));
   }
--- a/src/duties/list_duty.hpp
+++ b/src/duties/list_duty.hpp
@@ -18,9 +18,9 @@
  public:
   struct Handlers {
     std::function<void(int to, const DutyWord&)> send;
-    std::function<HostList()> whole;     // as it stands here
-    std::function<void(HostList)> told;  // by whoever has the duty
-    std::function<void(bool on)> watch;  // discovery, by oneself
+    std::function<discovery::EndpointList()> whole;     // as it stands here
+    std::function<void(discovery::EndpointList)> told;  // by whoever has the duty
+    std::function<void(bool on)> watch;                 // discovery, by oneself
   };
   struct Times {
     Lease::Times lease;
@@ -35,7 +35,7 @@
   void Beat(Millis now, double chance);
   void Hear(Millis now, int from, const DutyWord& word);
   // By this gateway's own discovery; `list` was taken in by then.
-  void Told(Millis now, const HostList& list);
+  void Told(Millis now, const discovery::EndpointList& list);
   void Failed(Millis now);
   void Stopping(Millis now);
   // Discovery is another from now on: its revisions say nothing of those before.
@@ -51,7 +51,7 @@
   void Hear(Millis, int, const ZonesWord&) {}  // another duty's
   void Hear(Millis, int, const ZonesVote&) {}
   void Post(const std::vector<Lease::Letter>& letters);
-  void SendList(int to, const HostList& list, std::int64_t after);
+  void SendList(int to, const discovery::EndpointList& list, std::int64_t after);
   void Decide(Millis now);
 
   const int self_, gateways_;
--- a/src/duties/words.cpp
+++ b/src/duties/words.cpp
@@ -32,9 +32,10 @@
           {"holder", w.holder}};
 }
 json Body(const ListPart& p) {
-  HostList list{p.revision, p.complete, p.hosts};
-  return {{"list", p.revision}, {"token", p.token}, {"after", p.after},
-          {"part", p.part},     {"parts", p.parts}, {"hosts", p.parts > 0 ? ToText(list) : ""}};
+  discovery::EndpointList list{p.revision, p.complete, p.hosts};
+  return {{"list", p.revision}, {"token", p.token},
+          {"after", p.after},   {"part", p.part},
+          {"parts", p.parts},   {"hosts", p.parts > 0 ? discovery::SerializeEndpointList(list) : ""}};
 }
 json Body(const ListWanted& w) { return {{"wanted", true}, {"token", w.token}}; }
 json Body(const ZonesWord& w) {
@@ -87,11 +88,11 @@
   part.parts = static_cast<std::uint32_t>(Whole(all.at("parts"), kMostParts));
   part.part = static_cast<std::uint32_t>(Whole(all.at("part"), kMostParts));
   if (part.parts == 0) return part;
-  auto list = ParseHostList(all.at("hosts").get_ref<const std::string&>());
+  auto list = discovery::ParseEndpointList(all.at("hosts").get_ref<const std::string&>());
   if (!list || part.part >= part.parts || list->revision != part.revision)
     throw std::invalid_argument("hosts");
-  part.complete = list->complete;
-  part.hosts = std::move(list->hosts);
+  part.complete = list->is_snapshot;
+  part.hosts = std::move(list->endpoints);
   return part;
 }
 
--- a/src/duties/words.hpp
+++ b/src/duties/words.hpp
@@ -24,7 +24,7 @@
   std::int64_t revision = 0, after = 0;  // after: from which it leads; a complete list from any
   bool complete = false;
   std::uint32_t part = 0, parts = 0;  // no parts: nothing but the revision
-  std::vector<Host> hosts;
+  std::vector<discovery::EndpointRecord> hosts;
 };
 // To it: the sender is at another revision.
 struct ListWanted {
--- a/src/edge/edge_config.cpp
+++ b/src/edge/edge_config.cpp
@@ -74,15 +74,16 @@
 }
 
 void ReadHost(TableReader& in, EdgePool& pool) {
-  Host host;
-  host.server.id = ReadName(in, "id");
+  discovery::EndpointRecord host;
+  host.endpoint.id = ReadName(in, "id");
   host.address = in.Address("address");
-  host.server.weight = in.Number("weight", 1, 0.001, 1000);
-  host.server.zone = in.Text("hall", "");
-  host.server.kind = in.Text("kind", pool.name);
-  host.server.cell = host.server.id;
-  for (const Host& other : pool.hosts) {
-    if (other.server.id == host.server.id) in.Fail("id", "host '" + host.server.id + "' is there twice");
+  host.endpoint.weight = in.Number("weight", 1, 0.001, 1000);
+  host.endpoint.zone = in.Text("hall", "");
+  host.endpoint.kind = in.Text("kind", pool.name);
+  host.endpoint.cell = host.endpoint.id;
+  for (const discovery::EndpointRecord& other : pool.hosts) {
+    if (other.endpoint.id == host.endpoint.id)
+      in.Fail("id", "host '" + host.endpoint.id + "' is there twice");
   }
   pool.hosts.push_back(std::move(host));
 }
@@ -140,9 +141,10 @@
   if (!in.Has("host")) return;
   route.kind = Route::Kind::kHost;
   route.host = ReadName(in, "host");
-  const bool known =
-      pool->discovered || std::any_of(pool->hosts.begin(), pool->hosts.end(),
-                                      [&](const Host& h) { return h.server.id == route.host; });
+  const bool known = pool->discovered || std::any_of(pool->hosts.begin(), pool->hosts.end(),
+                                                     [&](const discovery::EndpointRecord& h) {
+                                                       return h.endpoint.id == route.host;
+                                                     });
   if (!known) in.Fail("host", "pool '" + route.pool + "' has no host '" + route.host + "'");
 }
 
--- a/src/edge/edge_config.hpp
+++ b/src/edge/edge_config.hpp
@@ -45,8 +45,8 @@
 
 struct EdgePool {
   std::string name;
-  bool discovered = false;  // the fleet that discovery tells of
-  std::vector<Host> hosts;  // else
+  bool discovered = false;                       // the fleet that discovery tells of
+  std::vector<discovery::EndpointRecord> hosts;  // else
   std::optional<ParentProxy> parent;
 };
 
--- a/src/edge/table_reader.hpp
+++ b/src/edge/table_reader.hpp
@@ -72,7 +72,7 @@
   }
 
   boost::asio::ip::tcp::endpoint Address(std::string_view key) {
-    const auto address = ParseEndpoint(Text(key));
+    const auto address = discovery::ParseAddress(Text(key));
     if (!address) Fail(key, "'" + Text(key) + "' is not an address and port");
     return *address;
   }
--- a/src/fronts/http/answer_writer.cpp
+++ b/src/fronts/http/answer_writer.cpp
@@ -21,7 +21,7 @@
   WriteMore();
 }
 
-void AnswerWriter::WriteStream(std::string head, std::shared_ptr<BodySource> rest, bool chunked,
+void AnswerWriter::WriteStream(std::string head, std::shared_ptr<core::BodySource> rest, bool chunked,
                                std::function<void(bool)> passed) {
   error_code ignored;
   socket_.set_option(asio::socket_base::send_buffer_size(kStreamBuffer), ignored);
@@ -42,7 +42,7 @@
 // Most answers fit into the kernel's buffer: those go out without a turn of the loop.
 void AnswerWriter::WriteMore() {
   writing_ = true;
-  came_on_ = Now();
+  came_on_ = core::Now();
   error_code ec;
   while (written_ < text_.size() && !ec) written_ += socket_.write_some(asio::buffer(text_) + written_, ec);
   if (written_ == text_.size()) return Wrote();
@@ -63,19 +63,20 @@
 }
 
 void AnswerWriter::AskOn() {
-  rest_->Ask([this, owner = owner_(), turn = turn_](BodySource::Next next, std::string_view piece) {
-    if (turn_ != turn || !rest_) return;
-    if (next == BodySource::Next::kBroken) return ended_(End::kCut);
-    last_ = next == BodySource::Next::kWhole;
-    text_ = last_ ? std::string(chunked_ ? kLastChunk : "") : Framed(piece, chunked_);
-    written_ = 0;
-    WriteMore();
-  });
+  rest_->RequestData(
+      [this, owner = owner_(), turn = turn_](core::BodySource::Status next, std::string_view piece) {
+        if (turn_ != turn || !rest_) return;
+        if (next == core::BodySource::Status::kBroken) return ended_(End::kCut);
+        last_ = next == core::BodySource::Status::kComplete;
+        text_ = last_ ? std::string(chunked_ ? core::kLastChunk : "") : core::EncodeBodyData(piece, chunked_);
+        written_ = 0;
+        WriteMore();
+      });
 }
 
 void AnswerWriter::EndStream(bool whole) {
   const auto rest = std::exchange(rest_, nullptr);
-  if (rest && !whole) rest->Abandon();
+  if (rest && !whole) rest->Cancel();
   if (const auto passed = std::exchange(passed_, nullptr)) passed(whole);
 }
 
--- a/src/fronts/http/answer_writer.hpp
+++ b/src/fronts/http/answer_writer.hpp
@@ -22,7 +22,7 @@
 
   void WriteWhole(std::string text);
   // `head` with the first of the body, framed already; `passed` is told whether all of it went out.
-  void WriteStream(std::string head, std::shared_ptr<BodySource> rest, bool chunked,
+  void WriteStream(std::string head, std::shared_ptr<core::BodySource> rest, bool chunked,
                    std::function<void(bool)> passed);
   // The connection is closed.
   void Stop();
@@ -43,7 +43,7 @@
   const std::function<void(End)> ended_;
   std::string text_;         // what is being written
   std::size_t written_ = 0;  // of it
-  std::shared_ptr<BodySource> rest_;
+  std::shared_ptr<core::BodySource> rest_;
   std::function<void(bool)> passed_;
   bool chunked_ = false;
   bool last_ = false;
--- a/src/fronts/http/client_server.cpp
+++ b/src/fronts/http/client_server.cpp
@@ -62,10 +62,10 @@
       tcp::socket socket = acceptor_.accept(ec);
       if (!ec) Accepted(std::move(socket));
     }
-    if (ec == asio::error::would_block) queue_empty_ = true, queue_empty_at_ = Now();
+    if (ec == asio::error::would_block) queue_empty_ = true, queue_empty_at_ = core::Now();
     if (!ec || queue_empty_) return Accept();
     if (ec == asio::error::no_descriptors) Evict();
-    accept_again_.expires_after(Span(kAcceptAgain));  // at once would spin
+    accept_again_.expires_after(core::ToDuration(kAcceptAgain));  // at once would spin
     accept_again_.async_wait([this](error_code wait_ec) {
       if (!wait_ec) Accept();
     });
@@ -74,7 +74,7 @@
 
 // By then the loop had looked at all sockets: no sooner came what lies in one that it finds now.
 Millis ClientServer::LookedAt() const {
-  const Millis now = Now();
+  const Millis now = core::Now();
   return now - swept_at_ > kSweepEvery + kTurn ? swept_at_ : now - kTurn;
 }
 
@@ -100,7 +100,7 @@
 // Makes room: the least worth keeping goes first, and among its like the one that stood for longest. Where
 // there is still room none is closed that has begun a request, or is about to.
 bool ClientServer::Evict(bool idle_only) {
-  const Millis now = Now();
+  const Millis now = core::Now();
   struct Candidate {
     Standing standing;
     Millis since;
@@ -139,15 +139,15 @@
 }
 
 void ClientServer::Sweep() {
-  swept_at_ = Now();
-  sweep_.expires_after(Span(kSweepEvery));  // first: the next one comes whatever this one meets
+  swept_at_ = core::Now();
+  sweep_.expires_after(core::ToDuration(kSweepEvery));  // first: the next one comes whatever this one meets
   sweep_.async_wait([this](error_code ec) {
     if (!ec) Sweep();
   });
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
   for (const auto& session : all) {
     if (pass_) session->Yield();
-    session->Sweep(Now());
+    session->Sweep(core::Now());
   }
   while ((!handlers_.room() || Crowded()) && Evict(/*idle_only=*/true)) {
   }
@@ -171,7 +171,7 @@
   stopped_ = std::move(done);
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
   for (const auto& session : all) {
-    if (!pass_ && session->Rested(Now())) session->Close();  // the others as they are swept
+    if (!pass_ && session->Rested(core::Now())) session->Close();  // the others as they are swept
   }
   if (stopped_ && sessions_.empty()) asio::post(io_, std::exchange(stopped_, nullptr));
 }
@@ -198,7 +198,7 @@
     return;
   }
   if (Full()) Evict();
-  const auto session = std::make_shared<Session>(*this, std::move(socket), Now());
+  const auto session = std::make_shared<Session>(*this, std::move(socket), core::Now());
   sessions_.insert(session);
   session->Adopted(unread);
 }
--- a/src/fronts/http/client_server.hpp
+++ b/src/fronts/http/client_server.hpp
@@ -41,7 +41,7 @@
     std::function<bool()> ready;
     std::function<bool()> room;  // there is memory for more
     std::function<Policy::Admission(const std::string& class_name, Idempotency effect)> admits;
-    std::function<void(ClientRequest)> taken;
+    std::function<void(core::ClientRequest)> taken;
     std::function<void(const std::string& id)> whole;  // the body that was still coming is whole
     std::function<void(const std::string& id)> gone;   // the client of an unanswered request has left
   };
@@ -102,9 +102,9 @@
   std::unordered_set<std::shared_ptr<Session>> sessions_;
   boost::asio::steady_timer sweep_;
   boost::asio::steady_timer accept_again_;
-  Millis queue_empty_at_ = Now();  // who connects stands in the kernel's queue, which was empty then
-  bool queue_empty_ = true;        // and has been since, as far as is known
-  Millis swept_at_ = Now();
+  Millis queue_empty_at_ = core::Now();  // who connects stands in the kernel's queue, which was empty then
+  bool queue_empty_ = true;              // and has been since, as far as is known
+  Millis swept_at_ = core::Now();
   bool accepting_ = false;
   bool draining_ = false;
   std::function<void()> stopped_;
--- a/src/fronts/http/leave_watch.cpp
+++ b/src/fronts/http/leave_watch.cpp
@@ -40,7 +40,7 @@
 
 void LeaveWatch::Glance() {
   if (!timer_) timer_.emplace(io_);
-  timer_->expires_after(Span(kGlanceEvery));
+  timer_->expires_after(core::ToDuration(kGlanceEvery));
   timer_->async_wait([this, owner = handlers_.owner(), turn = turn_](error_code ec) {
     if (ec || turn_ != turn) return;
     HasEnded(socket_.native_handle()) ? handlers_.left() : Glance();
--- a/src/fronts/http/request_reader.cpp
+++ b/src/fronts/http/request_reader.cpp
@@ -12,7 +12,7 @@
   piece_ = {};
   if (buffer_.size() == 0 && buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
   parser_.emplace();
-  parser_->body_limit(kMostStream);
+  parser_->body_limit(core::kMaxBodyBytes);
   parser_->header_limit(kMostHeader);
 }
 
@@ -50,23 +50,23 @@
   return FaultPage(large ? 413 : header ? 431 : 400, ec.message());
 }
 
-void Upload::Ask(Take take) {
+void Upload::RequestData(DataCallback take) {
   begun_ = true;
   if (!asked_) {
-    boost::asio::post(io_, [take = std::move(take)] { take(Next::kBroken, {}); });
+    boost::asio::post(io_, [take = std::move(take)] { take(Status::kBroken, {}); });
     return;
   }
   take_ = std::move(take);
   asked_();
 }
 
-void Upload::Give(Next next, std::string_view piece) {
+void Upload::Give(Status next, std::string_view piece) {
   if (const auto take = std::exchange(take_, nullptr)) take(next, piece);
 }
 
 void Upload::Detach() {
   asked_ = nullptr;
-  Give(Next::kBroken, {});
+  Give(Status::kBroken, {});
 }
 
 }  // namespace meadowyard
--- a/src/fronts/http/request_reader.hpp
+++ b/src/fronts/http/request_reader.hpp
@@ -43,8 +43,8 @@
   template <typename Owner, typename Then>
   void ReadPiece(Owner owner, Then then) {
     // No more than the body can still have: most are far shorter than a piece.
-    const std::uint64_t left = parser_->content_length_remaining().value_or(kPiece);
-    piece_.resize(static_cast<std::size_t>(std::clamp<std::uint64_t>(left, 1, kPiece)));
+    const std::uint64_t left = parser_->content_length_remaining().value_or(core::kMaxPieceBytes);
+    piece_.resize(static_cast<std::size_t>(std::clamp<std::uint64_t>(left, 1, core::kMaxPieceBytes)));
     parser_->get().body() = {piece_.data(), piece_.size(), true};
     const auto told = [this, then = std::move(then)](Error ec) {
       const auto& body = parser_->get().body();
@@ -101,19 +101,19 @@
 Page MalformedPage(boost::system::error_code ec);
 
 // The rest of a request's long body, for whoever passes it on. It outlives its connection's part in it.
-class Upload : public BodySource {
+class Upload : public core::BodySource {
  public:
   // `asked` has the connection read a piece, which it gives.
   Upload(boost::asio::io_context& io, std::optional<std::uint64_t> size, std::function<void()> asked)
       : io_(io), size_(size), asked_(std::move(asked)) {}
 
-  void Ask(Take take) override;
-  void Abandon() override {}
+  void RequestData(DataCallback take) override;
+  void Cancel() override {}
   std::optional<std::uint64_t> length() const override { return size_; }
-  bool begun() const override { return begun_; }
+  bool data_requested() const override { return begun_; }
 
   bool waiting() const { return take_ != nullptr; }
-  void Give(Next next, std::string_view piece);
+  void Give(Status next, std::string_view piece);
   // The connection has no more part in it.
   void Detach();
 
@@ -121,7 +121,7 @@
   boost::asio::io_context& io_;
   const std::optional<std::uint64_t> size_;
   std::function<void()> asked_;
-  Take take_;
+  DataCallback take_;
   bool begun_ = false;
 };
 
--- a/src/fronts/http/request_rules.cpp
+++ b/src/fronts/http/request_rules.cpp
@@ -47,7 +47,7 @@
   for (const auto& field : head) {
     const std::string_view name = View(field.name_string());
     for (std::size_t i = 0; i < std::size(all); ++i) {
-      if (!EqualNames(name, all[i].first)) continue;
+      if (!core::EqualFieldNames(name, all[i].first)) continue;
       if (seen & (1u << i)) named.repeated = all[i].first.data();
       seen |= 1u << i;
       named.*all[i].second = View(field.value());
@@ -68,14 +68,14 @@
   return page;
 }
 
-Page PageOf(Answer& answer) {
+Page PageOf(core::Answer& answer) {
   Page page;
   switch (answer.kind) {
-    case Answer::Kind::kServed:
-      page.fields = std::move(answer.reply.fields);
-      page.body = std::move(answer.reply.body);
+    case core::Answer::Kind::kServed:
+      page.fields = std::move(answer.response.fields);
+      page.body = std::move(answer.response.body);
       break;
-    case Answer::Kind::kRefused:
+    case core::Answer::Kind::kRejected:
       page.status = 503;
       if (answer.retry_after > 0) {
         char seconds[32];
@@ -83,9 +83,9 @@
         page.fields.Add("Retry-After", seconds);
       }
       break;
-    case Answer::Kind::kFailed: page.status = 502; break;
-    case Answer::Kind::kOverdue: page.status = 504; break;
-    case Answer::Kind::kInUse:
+    case core::Answer::Kind::kFailed: page.status = 502; break;
+    case core::Answer::Kind::kTimedOut: page.status = 504; break;
+    case core::Answer::Kind::kDuplicateId:
       page.status = 409;
       page.body = "Req-Id is in use\n";
       page.close = true;
@@ -110,7 +110,7 @@
   return text += "\r\n";
 }
 
-std::optional<Page> Check(const RequestHead& head, const Admits& admits, ClientRequest& request) {
+std::optional<Page> Check(const RequestHead& head, const Admits& admits, core::ClientRequest& request) {
   const std::string_view target = View(head.target());
   const std::string_view path = target.substr(0, target.find('?'));
   if (path != "/api" && !path.starts_with("/api/")) return FaultPage(404, "no such path");
@@ -123,14 +123,14 @@
   request.class_name = named.kind;
   const auto allowed = ParseDeadline(named.deadline);
   if (!allowed) return FaultPage(400, "Req-Deadline is missing or malformed");
-  request.allowed = *allowed;
+  request.client_timeout = *allowed;
   // A repeat of a request that is not safe must be possible to tell from its class and method alike.
   const bool get = head.method() == http::verb::get;
   const bool keyed = !named.idempotency.empty();
-  request.effect = get     ? Idempotency::kIdempotent
-                   : keyed ? Idempotency::kIdempotencyKey
-                           : Idempotency::kNonIdempotent;
-  const auto admission = admits(request.class_name, request.effect);
+  request.idempotency = get     ? Idempotency::kIdempotent
+                        : keyed ? Idempotency::kIdempotencyKey
+                                : Idempotency::kNonIdempotent;
+  const auto admission = admits(request.class_name, request.idempotency);
   if (admission == Policy::Admission::kUnknownClass) return FaultPage(400, "Req-Kind names no class");
   if (!get && head.method() != http::verb::post) return FaultPage(405, "the class takes another method");
   if (admission == Policy::Admission::kIdempotencyMismatch) {
@@ -140,11 +140,11 @@
                      : FaultPage(405, "the class takes another method");
   }
   request.tenant = named.owner;
-  request.retry = named.retry == "1";
+  request.is_retry = named.retry == "1";
   request.key = named.key;
-  request.call.method = View(head.method_string());
-  request.call.target = target;
-  request.call.fields = EndToEnd(head);
+  request.message.method = View(head.method_string());
+  request.message.target = target;
+  request.message.fields = EndToEnd(head);
   return std::nullopt;
 }
 
--- a/src/fronts/http/session.cpp
+++ b/src/fronts/http/session.cpp
@@ -27,7 +27,7 @@
       leaving_(server.io_, socket_, reader_,
                {[this] { return shared_from_this(); },
                 [this] {
-                  if (came_at_ == 0) came_at_ = Now();
+                  if (came_at_ == 0) came_at_ = core::Now();
                 },
                 [this] { Left(); }}) {}
 
@@ -108,7 +108,7 @@
   phase_ = phase;
   leaving_.End();
   in_body_ = false;
-  since_ = came_on_ = Now();
+  since_ = came_on_ = core::Now();
   begun_at_ = 0;
 }
 
@@ -147,7 +147,7 @@
     return Send(FaultPage(503, "no memory for the body"));
   }
   in_body_ = true;
-  came_on_ = body_at_ = Now();
+  came_on_ = body_at_ = core::Now();
   if (!boost::beast::iequals(reader_.head()[http::field::expect], "100-continue")) return ReadBody();
   asio::async_write(socket_, asio::buffer(kContinue),
                     [this, self = shared_from_this()](Error write_ec, std::size_t) {
@@ -160,7 +160,7 @@
 void ClientServer::Session::ReadBody() {
   reader_.ReadPiece(shared_from_this(), [this, turn = turn_](Error ec, std::string_view piece) {
     if (phase_ != Phase::kReading || turn_ != turn) return;
-    came_on_ = Now();
+    came_on_ = core::Now();
     if (ec) return Unreadable(ec);
     body_.append(piece);
     reader_.done() || body_.size() > kMostBody ? Take() : ReadBody();
@@ -180,19 +180,19 @@
     return Send(std::move(page));
   }
   if (!server_.handlers_.room()) return Send(FaultPage(503, "no memory for a request"));
-  ClientRequest request;
+  core::ClientRequest request;
   if (auto fault = Check(head, server_.handlers_.admits, request)) return Send(std::move(*fault));
-  request.call.body = std::exchange(body_, {});
-  request.received = at > 0 ? at : Now();
-  request.sent_after = at > 0 ? at : CameAfter();
-  request.answer = [weak = weak_from_this(), turn = ++turn_](Answer answer) {
+  request.message.body = std::exchange(body_, {});
+  request.received_at = at > 0 ? at : core::Now();
+  request.earliest_sent_at = at > 0 ? at : CameAfter();
+  request.on_answer = [weak = weak_from_this(), turn = ++turn_](core::Answer answer) {
     const auto self = weak.lock();
     if (self && self->turn_ == turn && self->phase_ == Phase::kWaiting) return self->Reply(std::move(answer));
-    if (!answer.rest) return;
-    answer.rest->Abandon();
-    answer.passed(false);
+    if (!answer.body_source) return;
+    answer.body_source->Cancel();
+    answer.on_delivered(false);
   };
-  request.gone = [weak = weak_from_this(), turn = turn_] {
+  request.has_disconnected = [weak = weak_from_this(), turn = turn_] {
     const auto self = weak.lock();
     return !self || self->turn_ != turn || self->phase_ != Phase::kWaiting ||
            HasEnded(self->socket_.native_handle());
@@ -203,25 +203,25 @@
     upload_ = std::make_shared<Upload>(server_.io_, reader_.length(), [weak = weak_from_this()] {
       if (const auto self = weak.lock()) self->ReadOn();
     });
-    request.rest = upload_;
+    request.body_source = upload_;
   }
   leaving_.Begin(/*reads=*/upload_ == nullptr);
   server_.handlers_.taken(std::move(request));
 }
 
 void ClientServer::Session::ReadOn() {
-  came_on_ = Now();
+  came_on_ = core::Now();
   if (reader_.done()) {  // its last piece was the one before
     asio::post(server_.io_, [this, self = shared_from_this()] { Whole(); });
     return;
   }
   reader_.ReadPiece(shared_from_this(), [this, turn = turn_](Error ec, std::string_view piece) {
     if (phase_ == Phase::kClosed || turn_ != turn || !upload_ || !upload_->waiting()) return;
-    came_on_ = Now();
+    came_on_ = core::Now();
     if (ec) return Spoilt(ec);
     if (piece.empty() && reader_.done()) return Whole();
     const auto upload = upload_;  // whoever is given a piece may end the request
-    upload->Give(BodySource::Next::kPiece, piece);
+    upload->Give(core::BodySource::Status::kData, piece);
   });
 }
 
@@ -230,7 +230,7 @@
   const auto upload = std::exchange(upload_, nullptr);
   leaving_.Begin(/*reads=*/true);
   server_.handlers_.whole(id_);
-  upload->Give(BodySource::Next::kWhole, {});
+  upload->Give(core::BodySource::Status::kComplete, {});
   upload->Detach();
 }
 
@@ -267,17 +267,17 @@
   });
 }
 
-void ClientServer::Session::Reply(Answer answer) {
+void ClientServer::Session::Reply(core::Answer answer) {
   Page page = PageOf(answer);
-  Send(std::move(page), answer.rest ? &answer : nullptr);
+  Send(std::move(page), answer.body_source ? &answer : nullptr);
 }
 
-void ClientServer::Session::Send(Page page, Answer* stream) {
+void ClientServer::Session::Send(Page page, core::Answer* stream) {
   Enter(Phase::kWriting);
   Release();
   // The client has more to send than anyone wants: it is read off after the answer.
   const bool unread = upload_ != nullptr || (reader_.head_done() && !reader_.done());
-  discard_ = unread ? kMostStream : kMostDiscarded;
+  discard_ = unread ? core::kMaxBodyBytes : kMostDiscarded;
   if (unread) keep_alive_ = false;
   DropUpload();
   // In a drain, or with clients waiting for a place, the connection ends here: but not on a request that
@@ -291,12 +291,13 @@
     return writer_.WriteWhole(HeadText(page, version_, keep_alive_, page.body.size(), false) + page.body);
   }
   // A client of HTTP/1.0 knows no chunks: there the close is the end.
-  const auto length = stream->rest->length();
+  const auto length = stream->body_source->length();
   const bool chunked = !length && version_ >= 11;
   if (!length && !chunked) keep_alive_ = false;
   WatchForReset();
-  writer_.WriteStream(HeadText(page, version_, keep_alive_, length, chunked) + Framed(page.body, chunked),
-                      std::move(stream->rest), chunked, std::move(stream->passed));
+  writer_.WriteStream(
+      HeadText(page, version_, keep_alive_, length, chunked) + core::EncodeBodyData(page.body, chunked),
+      std::move(stream->body_source), chunked, std::move(stream->on_delivered));
 }
 
 void ClientServer::Session::Written(AnswerWriter::End end) {
@@ -335,7 +336,7 @@
     const std::size_t got = ec ? 0 : socket_.read_some(asio::buffer(sink), ec);
     const bool ended = got == 0 && ec != asio::error::would_block;
     if (ended || so_far + got > discard_) return Close();
-    if (discard_ > kMostDiscarded) since_ = Now();  // its body is still coming
+    if (discard_ > kMostDiscarded) since_ = core::Now();  // its body is still coming
     Discard(so_far + got);
   });
 }
--- a/src/fronts/http/session.hpp
+++ b/src/fronts/http/session.hpp
@@ -67,8 +67,8 @@
   // The request was not taken whole, and never will be: its client is told so, and nobody else answers.
   void Broken(Page page);
   // Whoever broke the protocol once has no place to go on from: what follows could be anything.
-  void Reply(Answer answer);
-  void Send(Page page, Answer* stream = nullptr);
+  void Reply(core::Answer answer);
+  void Send(Page page, core::Answer* stream = nullptr);
   void Written(AnswerWriter::End end);
   void Linger();
   void Discard(std::size_t so_far);
@@ -88,7 +88,7 @@
   std::uint64_t discard_ = 0;  // most bytes to read off after the last answer
   std::size_t reserved_ = 0;   // bytes of body that count against the server's
   Phase phase_ = Phase::kReading;
-  Millis since_ = Now();
+  Millis since_ = core::Now();
   Millis begun_at_ = 0;  // when a part of a request was first seen
   Millis came_at_ = 0;   // when the next request was seen behind the one being served
   Millis came_on_ = 0;   // when a body last came on
--- a/src/fronts/tunnel/session.cpp
+++ b/src/fronts/tunnel/session.cpp
@@ -16,13 +16,14 @@
 constexpr std::size_t kMostEarly = 16 * 1024;  // of the client's data that waits for the way to open
 constexpr Millis kLinger = 500;                // for a refused client to close first
 
-TunnelReply ReplyTo(const Answer& answer) {
+TunnelReply ReplyTo(const core::Answer& answer) {
   switch (answer.kind) {
-    case Answer::Kind::kServed: return TunnelReply::kOpen;
-    case Answer::Kind::kRefused: return answer.tried ? TunnelReply::kUnreachable : TunnelReply::kTurnedAway;
-    case Answer::Kind::kOverdue: return TunnelReply::kOverdue;
-    case Answer::Kind::kFailed:
-    case Answer::Kind::kInUse: break;
+    case core::Answer::Kind::kServed: return TunnelReply::kOpen;
+    case core::Answer::Kind::kRejected:
+      return answer.attempted ? TunnelReply::kUnreachable : TunnelReply::kTurnedAway;
+    case core::Answer::Kind::kTimedOut: return TunnelReply::kOverdue;
+    case core::Answer::Kind::kFailed:
+    case core::Answer::Kind::kDuplicateId: break;
   }
   return TunnelReply::kUnreachable;
 }
@@ -38,7 +39,7 @@
     : server_(server),
       socket_(std::move(socket)),
       config_(server.config_),
-      until_(Now() + server.config_->limits.handshake) {
+      until_(core::Now() + server.config_->limits.handshake) {
   Handshake::Check check;
   if (listener.credentials) {
     check = [this](std::string_view user, std::string_view password) {
@@ -137,32 +138,32 @@
   admitted_ = true;
   stage_ = Stage::kWaiting;
   request_ = "\ntunnel " + std::to_string(server_.next_++);  // no front's clients can name such a request
-  ClientRequest request;
-  request.call.method = "CONNECT";
-  request.call.target = facts_.to;
+  core::ClientRequest request;
+  request.message.method = "CONNECT";
+  request.message.target = facts_.to;
   request.id = request_;
   request.class_name = config_->tunnel.name;
-  request.effect = Idempotency::kNonIdempotent;
-  request.tunnel = true;
-  if (route_->kind == Route::Kind::kHost) request.only = route_->host;
+  request.idempotency = Idempotency::kNonIdempotent;
+  request.is_tunnel = true;
+  if (route_->kind == Route::Kind::kHost) request.pinned_endpoint = route_->host;
   for (const EdgeUser& user : config_->users) {
     if (user.name == facts_.user) request.tenant = user.tenant;
   }
-  request.received = Now();
-  request.allowed = config_->tunnel.deadline;
-  request.answer = [weak = weak_from_this()](Answer answer) {
+  request.received_at = core::Now();
+  request.client_timeout = config_->tunnel.deadline;
+  request.on_answer = [weak = weak_from_this()](core::Answer answer) {
     if (const auto self = weak.lock(); self && self->stage_ == Stage::kWaiting)
       return self->Answered(std::move(answer));
-    if (answer.closed) answer.closed(TunnelEnd::kEnded);
+    if (answer.on_tunnel_closed) answer.on_tunnel_closed(core::TunnelEnd::kClosed);
   };
   if (in_.size() < kMostEarly) Read();
   server_.handlers_.take(*route_, std::move(request));
 }
 
-void TunnelServer::Session::Answered(Answer answer) {
+void TunnelServer::Session::Answered(core::Answer answer) {
   const auto self = shared_from_this();
   request_.clear();
-  if (answer.kind != Answer::Kind::kServed) {
+  if (answer.kind != core::Answer::Kind::kServed) {
     const TunnelReply reply = ReplyTo(answer);
     return Refuse(reply, answer.retry_after, Name(reply));
   }
@@ -175,9 +176,9 @@
   up.left = std::move(in_);
   up.bytes = up.left.size();
   up.ended = client_ended_;
-  down.bytes = answer.opened->unread.size();
-  down.left = handshake_->Reply(TunnelReply::kOpen, 0, answer.opened->socket.local_endpoint(ec)) +
-              answer.opened->unread;
+  down.bytes = answer.tunnel_endpoint->unread.size();
+  down.left = handshake_->Reply(TunnelReply::kOpen, 0, answer.tunnel_endpoint->socket.local_endpoint(ec)) +
+              answer.tunnel_endpoint->unread;
   server_.Open(std::move(facts_), std::move(socket_), std::move(answer), std::move(up), std::move(down));
   server_.Closed(self);
 }
@@ -197,7 +198,7 @@
 void TunnelServer::Session::Linger() {
   Release();
   stage_ = Stage::kRefused;
-  until_ = Now() + kLinger;
+  until_ = core::Now() + kLinger;
   error_code ec;
   socket_.shutdown(tcp::socket::shutdown_send, ec);
   in_.clear();
--- a/src/fronts/tunnel/session.hpp
+++ b/src/fronts/tunnel/session.hpp
@@ -27,7 +27,7 @@
   void Readable();
   void Fed();
   void Ask();
-  void Answered(Answer answer);
+  void Answered(core::Answer answer);
   // Writes at once: what a handshake says is far smaller than a fresh socket's buffer.
   bool Write(const std::string& text);
   void Refuse(TunnelReply reply, Millis retry_after, const std::string& what);
--- a/src/fronts/tunnel/tunnel.cpp
+++ b/src/fronts/tunnel/tunnel.cpp
@@ -30,7 +30,7 @@
       ended_(std::move(ended)),
       up_{client_, host_, {}},
       down_{host_, client_, {}},
-      last_active_(Now()) {}
+      last_active_(core::Now()) {}
 
 void Tunnel::Start(Way up, Way down) {
   up_.way = std::move(up);
@@ -42,7 +42,7 @@
   if (!closed_) Run(up_);
 }
 
-void Tunnel::Close(const std::string& cause, bool reset, TunnelEnd end) {
+void Tunnel::Close(const std::string& cause, bool reset, core::TunnelEnd end) {
   if (std::exchange(closed_, true)) return;
   const auto self = shared_from_this();
   error_code ignored;
@@ -64,7 +64,7 @@
       flow.way.ended = true;
       continue;
     }
-    last_active_ = Now();
+    last_active_ = core::Now();
     flow.way.bytes += static_cast<std::uint64_t>(got);
     const auto all = static_cast<std::size_t>(got);
     ssize_t sent = ::send(flow.to.native_handle(), piece_.data(), all, MSG_NOSIGNAL | MSG_DONTWAIT);
@@ -86,7 +86,7 @@
     Broke(flow.to);
     return false;
   }
-  if (sent > 0) last_active_ = Now();
+  if (sent > 0) last_active_ = core::Now();
   left.erase(0, static_cast<std::size_t>(std::max<ssize_t>(0, sent)));
   if (left.empty()) {
     std::string().swap(left);  // an idle tunnel holds no buffer
@@ -136,8 +136,9 @@
 
 void Tunnel::Broke(const Socket& by) {
   const bool host = &by == &host_;
-  const bool early = host && down_.way.bytes == 0 && Now() < facts_.since + kBeginning;
-  Close(host ? "reset by host" : "reset by client", true, early ? TunnelEnd::kBroken : TunnelEnd::kEnded);
+  const bool early = host && down_.way.bytes == 0 && core::Now() < facts_.since + kBeginning;
+  Close(host ? "reset by host" : "reset by client", true,
+        early ? core::TunnelEnd::kFailedAtStart : core::TunnelEnd::kClosed);
 }
 
 bool Tunnel::PassOn(const Pass& pass) {
@@ -151,7 +152,7 @@
   const std::string text =
       head.dump(-1, ' ', false, json::error_handler_t::replace) + "\n" + up_.way.left + down_.way.left;
   if (!pass(client_.native_handle(), host_.native_handle(), text)) return false;
-  Close("passed on", false, TunnelEnd::kPassedOn);
+  Close("passed on", false, core::TunnelEnd::kHandedOver);
   return true;
 }
 
--- a/src/fronts/tunnel/tunnel.hpp
+++ b/src/fronts/tunnel/tunnel.hpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/opened.hpp"
+#include "core/tunnel_endpoint.hpp"
 #include "meadowyard/policy.hpp"
 
 namespace meadowyard {
@@ -31,7 +31,7 @@
  public:
   using Socket = boost::asio::ip::tcp::socket;
   // `ended` is told once, with the cause, when both sockets are closed.
-  using Ended = std::function<void(Tunnel& tunnel, const std::string& cause, TunnelEnd end)>;
+  using Ended = std::function<void(Tunnel& tunnel, const std::string& cause, core::TunnelEnd end)>;
   // What stands for each way at its beginning: bytes that were read but not yet passed on, whether its source
   // has ended, and whether that was passed on.
   struct Way {
@@ -43,7 +43,7 @@
 
   void Start(Way up, Way down);
   // Closes both sides; with a reset the peers learn that it did not end well.
-  void Close(const std::string& cause, bool reset, TunnelEnd end = TunnelEnd::kEnded);
+  void Close(const std::string& cause, bool reset, core::TunnelEnd end = core::TunnelEnd::kClosed);
 
   const TunnelFacts& facts() const { return facts_; }
   std::uint64_t bytes_up() const { return up_.way.bytes; }
--- a/src/fronts/tunnel/tunnel_server.cpp
+++ b/src/fronts/tunnel/tunnel_server.cpp
@@ -21,7 +21,8 @@
 constexpr int kBacklog = 1024;
 
 std::string KeyOf(const EdgeListener& l) {
-  return std::string(l.protocol == TunnelProtocol::kSocks5 ? "socks5 " : "connect ") + ToText(l.address);
+  return std::string(l.protocol == TunnelProtocol::kSocks5 ? "socks5 " : "connect ") +
+         discovery::FormatAddress(l.address);
 }
 
 // Takes the same time whatever is wrong with it.
@@ -116,7 +117,7 @@
     if (!l->acceptor.is_open()) return;
     if (ec && ec != asio::error::operation_aborted) {
       if (ec == asio::error::no_descriptors) EvictOldest();
-      l->again.expires_after(Span(kAcceptAgain));  // at once would spin
+      l->again.expires_after(core::ToDuration(kAcceptAgain));  // at once would spin
       return l->again.async_wait([this, l](error_code wait_ec) {
         if (!wait_ec) Accept(l);
       });
@@ -146,21 +147,21 @@
   if (emptied_ && tunnels_.empty() && sessions_.empty()) asio::post(io_, std::exchange(emptied_, nullptr));
 }
 
-void TunnelServer::Open(TunnelFacts facts, tcp::socket client, Answer answer, Tunnel::Way up,
+void TunnelServer::Open(TunnelFacts facts, tcp::socket client, core::Answer answer, Tunnel::Way up,
                         Tunnel::Way down) {
-  facts.host = answer.opened->host;
-  facts.since = Now();
-  Run(std::move(facts), std::move(client), std::move(answer.opened->socket), std::move(up), std::move(down),
-      std::move(answer.closed));
+  facts.host = answer.tunnel_endpoint->endpoint;
+  facts.since = core::Now();
+  Run(std::move(facts), std::move(client), std::move(answer.tunnel_endpoint->socket), std::move(up),
+      std::move(down), std::move(answer.on_tunnel_closed));
 }
 
 void TunnelServer::Run(TunnelFacts facts, tcp::socket client, tcp::socket host, Tunnel::Way up,
-                       Tunnel::Way down, std::function<void(TunnelEnd)> closed) {
+                       Tunnel::Way down, std::function<void(core::TunnelEnd)> closed) {
   facts.id = next_++;
   const std::uint64_t id = facts.id;
   const auto tunnel = std::make_shared<Tunnel>(
       std::move(facts), std::move(client), std::move(host), piece_,
-      [this, closed = std::move(closed)](Tunnel& ended, const std::string& cause, TunnelEnd end) {
+      [this, closed = std::move(closed)](Tunnel& ended, const std::string& cause, core::TunnelEnd end) {
         closed(end);
         Ended(ended, cause);
       });
@@ -180,13 +181,13 @@
                                  {"why", cause},
                                  {"bytes_up", std::to_string(tunnel.bytes_up())},
                                  {"bytes_down", std::to_string(tunnel.bytes_down())},
-                                 {"ms", std::to_string(static_cast<long>(Now() - facts.since))}});
+                                 {"ms", std::to_string(static_cast<long>(core::Now() - facts.since))}});
   tunnels_.erase(facts.id);
   if (emptied_ && tunnels_.empty() && sessions_.empty()) asio::post(io_, std::exchange(emptied_, nullptr));
 }
 
 void TunnelServer::HostsChanged() {
-  const Millis now = Now();
+  const Millis now = core::Now();
   std::vector<std::pair<std::shared_ptr<Tunnel>, std::string>> due;
   for (const auto& [id, tunnel] : tunnels_) {
     const std::string why = handlers_.unusable(tunnel->facts().pool, tunnel->facts().host);
@@ -201,11 +202,11 @@
 }
 
 void TunnelServer::Sweep() {
-  sweep_.expires_after(Span(kSweepEvery));  // first: the next one comes whatever this one meets
+  sweep_.expires_after(core::ToDuration(kSweepEvery));  // first: the next one comes whatever this one meets
   sweep_.async_wait([this](error_code ec) {
     if (!ec) Sweep();
   });
-  const Millis now = Now();
+  const Millis now = core::Now();
   const std::vector<std::shared_ptr<Session>> sessions(sessions_.begin(), sessions_.end());
   for (const auto& session : sessions) session->Sweep(now);
   std::vector<std::shared_ptr<Tunnel>> idle;
@@ -306,7 +307,7 @@
                    {"route", facts.route},
                    {"pool", facts.pool},
                    {"host", facts.host},
-                   {"age_ms", static_cast<std::int64_t>(Now() - facts.since)},
+                   {"age_ms", static_cast<std::int64_t>(core::Now() - facts.since)},
                    {"bytes_up", tunnel->bytes_up()},
                    {"bytes_down", tunnel->bytes_down()}});
   }
--- a/src/fronts/tunnel/tunnel_server.hpp
+++ b/src/fronts/tunnel/tunnel_server.hpp
@@ -26,11 +26,12 @@
  public:
   struct Handlers {
     std::function<bool()> ready;
-    std::function<void(const Route& route, ClientRequest request)> take;
+    std::function<void(const Route& route, core::ClientRequest request)> take;
     std::function<void(const std::string& pool, const std::string& id)> left;
     // Why nothing new may go to a host; empty: it may.
     std::function<std::string(const std::string& pool, const std::string& host)> unusable;
-    std::function<std::function<void(TunnelEnd)>(const std::string& pool, const std::string& host)> adopt;
+    std::function<std::function<void(core::TunnelEnd)>(const std::string& pool, const std::string& host)>
+        adopt;
     std::function<void(const std::string& event,
                        const std::vector<std::pair<std::string, std::string>>& fields)>
         log;
@@ -77,10 +78,10 @@
   void Accept(const std::shared_ptr<Listener>& listener);
   void EvictOldest();
   void Closed(const std::shared_ptr<Session>& session);
-  void Open(TunnelFacts facts, boost::asio::ip::tcp::socket client, Answer answer, Tunnel::Way up,
+  void Open(TunnelFacts facts, boost::asio::ip::tcp::socket client, core::Answer answer, Tunnel::Way up,
             Tunnel::Way down);
   void Run(TunnelFacts facts, boost::asio::ip::tcp::socket client, boost::asio::ip::tcp::socket host,
-           Tunnel::Way up, Tunnel::Way down, std::function<void(TunnelEnd)> closed);
+           Tunnel::Way up, Tunnel::Way down, std::function<void(core::TunnelEnd)> closed);
   void Ended(Tunnel& tunnel, const std::string& cause);
   void Sweep();
   void PassAll();
--- a/src/http/messages.hpp
+++ b/src/http/messages.hpp
@@ -41,15 +41,15 @@
 
 // The fields that are passed on.
 template <typename Head>
-Fields EndToEnd(const Head& head) {
-  Fields fields;
+core::Fields EndToEnd(const Head& head) {
+  core::Fields fields;
   for (const auto& field : head) {
     if (!HopByHop(field.name())) fields.Add(View(field.name_string()), View(field.value()));
   }
   return fields;
 }
 
-inline void AppendFields(std::string& text, const Fields& fields) {
+inline void AppendFields(std::string& text, const core::Fields& fields) {
   fields.ForEach([&](std::string_view name, std::string_view value) {
     text.append(name).append(": ").append(value).append("\r\n");
   });
--- a/src/lab/faulty_gateway.cpp
+++ b/src/lab/faulty_gateway.cpp
@@ -34,36 +34,36 @@
 
 class FaultyGateway {
  public:
-  FaultyGateway(asio::io_context& io, const Config& config, Fault fault)
+  FaultyGateway(asio::io_context& io, const config::Configuration& config, Fault fault)
       : io_(io),
         fault_(fault),
         random_(config.seed, "faults"),
-        acceptor_(io, config.listen),
-        discovery_(io, config.discovery, config.known.revision,
-                   {[this](const HostList& list) { Told(list); }, [this] { Again(); }}) {
-    Told(config.known);
-    discovery_.Watch();
+        acceptor_(io, config.listen_address),
+        discovery_(io, config.discovery_address, config.known_endpoints.revision,
+                   {[this](const discovery::EndpointList& list) { Told(list); }, [this] { Again(); }}) {
+    Told(config.known_endpoints);
+    discovery_.Start();
     Accept();
   }
 
  private:
   using ClientPtr = std::shared_ptr<ServerStream>;
 
-  void Told(const HostList& list) {
+  void Told(const discovery::EndpointList& list) {
     // One fault is to go on with what was told once.
-    if (list.complete && fault_ != Fault::kDrain) hosts_.clear();
-    for (const Host& host : list.hosts) {
-      if (host.server.state == EndpointState::kUp) {
-        hosts_[host.server.id] = {host.address, host.server.started_at};
+    if (list.is_snapshot && fault_ != Fault::kDrain) hosts_.clear();
+    for (const discovery::EndpointRecord& host : list.endpoints) {
+      if (host.endpoint.state == EndpointState::kUp) {
+        hosts_[host.endpoint.id] = {host.address, host.endpoint.started_at};
       } else if (fault_ != Fault::kDrain) {
-        hosts_.erase(host.server.id);
+        hosts_.erase(host.endpoint.id);
       }
     }
   }
   void Again() {
     const auto timer = std::make_shared<asio::steady_timer>(io_, Wait(300));
     timer->async_wait([this, timer](error_code ec) {
-      if (!ec) discovery_.Watch();
+      if (!ec) discovery_.Start();
     });
   }
   void Accept() {
@@ -146,7 +146,7 @@
   tcp::acceptor acceptor_;
   std::map<std::string, std::pair<tcp::endpoint, Millis>> hosts_;  // and when each was started
   std::set<ClientPtr> clients_;
-  Discovery discovery_;
+  discovery::DiscoveryClient discovery_;
 };
 
 }  // namespace
@@ -164,7 +164,8 @@
 
 void RunFaultyGateway(Fault fault) {
   asio::io_context io(1);
-  const Config config = LoadConfig([](const char* name) -> const char* { return std::getenv(name); });
+  const config::Configuration config =
+      config::LoadConfiguration([](const char* name) -> const char* { return std::getenv(name); });
   FaultyGateway gateway(io, config, fault);
   asio::signal_set ends(io, SIGTERM, SIGINT);
   ends.async_wait([&](error_code, int) { io.stop(); });
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -174,11 +174,11 @@
   const auto* const part = std::get_if<ListPart>(&word->word);
   if (part == nullptr) return;
   if (!arrived) return ledger_.acts.push_back({Clock(), from, to, part->token, part->revision, 0});
-  for (const Host& host : part->hosts) {
-    const auto known = std::find(ledger_.hosts.begin(), ledger_.hosts.end(), host.server.id);
+  for (const discovery::EndpointRecord& host : part->hosts) {
+    const auto known = std::find(ledger_.hosts.begin(), ledger_.hosts.end(), host.endpoint.id);
     if (known == ledger_.hosts.end()) continue;
     ledger_.told.push_back({Clock(), to, static_cast<std::int32_t>(known - ledger_.hosts.begin()),
-                            host.server.state == EndpointState::kUp});
+                            host.endpoint.state == EndpointState::kUp});
   }
 }
 
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -14,22 +14,22 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace meadowyard {
+namespace meadowyard::log {
 namespace {
 
-LogForm form_in_force = LogForm::kText;
+Format form_in_force = Format::kText;
 
-spdlog::level::level_enum ToSpdlog(LogLevel level) {
+spdlog::level::level_enum ToSpdlog(Level level) {
   switch (level) {
-    case LogLevel::kDebug: return spdlog::level::debug;
-    case LogLevel::kInfo: return spdlog::level::info;
-    case LogLevel::kWarn: return spdlog::level::warn;
-    case LogLevel::kError: return spdlog::level::err;
+    case Level::kDebug: return spdlog::level::debug;
+    case Level::kInfo: return spdlog::level::info;
+    case Level::kWarn: return spdlog::level::warn;
+    case Level::kError: return spdlog::level::err;
   }
   return spdlog::level::info;
 }
 
-const char* Name(LogLevel level) {
+const char* Name(Level level) {
   constexpr const char* kNames[] = {"debug", "info", "warn", "error"};
   return kNames[static_cast<int>(level)];
 }
@@ -83,9 +83,9 @@
 
 }  // namespace
 
-std::string LogLine(LogForm form, LogLevel level, const std::string& time, const std::string& event,
-                    const LogFields& fields) {
-  if (form == LogForm::kJson) {
+std::string FormatLine(Format form, Level level, const std::string& time, const std::string& event,
+                       const Fields& fields) {
+  if (form == Format::kJson) {
     nlohmann::ordered_json line = {{"time", time}, {"level", Name(level)}, {"event", event}};
     for (const auto& [name, value] : fields) line[name] = value;
     return Dump(line);
@@ -97,9 +97,9 @@
   return line;
 }
 
-void StartLog(LogForm form, const std::string& least) {
-  const LogLevel all[] = {LogLevel::kDebug, LogLevel::kInfo, LogLevel::kWarn, LogLevel::kError};
-  for (const LogLevel level : all) {
+void StartLog(Format form, const std::string& least) {
+  const Level all[] = {Level::kDebug, Level::kInfo, Level::kWarn, Level::kError};
+  for (const Level level : all) {
     if (least != Name(level)) continue;
     form_in_force = form;
     Logger().set_level(ToSpdlog(level));
@@ -108,12 +108,12 @@
   throw std::invalid_argument("log level '" + least + "': not debug, info, warn or error");
 }
 
-void LogEvent(LogLevel level, const std::string& event, const LogFields& fields) {
+void Write(Level level, const std::string& event, const Fields& fields) {
   if (!Logger().should_log(ToSpdlog(level))) return;
   try {
-    Logger().log(ToSpdlog(level), "{}", LogLine(form_in_force, level, Time(), event, fields));
+    Logger().log(ToSpdlog(level), "{}", FormatLine(form_in_force, level, Time(), event, fields));
   } catch (const std::bad_alloc&) {  // the line is lost; whoever had something to say goes on
   }
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::log
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -7,21 +7,21 @@
 #include <utility>
 #include <vector>
 
-namespace meadowyard {
+namespace meadowyard::log {
 
-enum class LogLevel { kDebug, kInfo, kWarn, kError };
-enum class LogForm { kText, kJson };
+enum class Level { kDebug, kInfo, kWarn, kError };
+enum class Format { kText, kJson };
 
-using LogFields = std::vector<std::pair<std::string, std::string>>;
+using Fields = std::vector<std::pair<std::string, std::string>>;
 
 // Before the first line; `least` is "debug", "info", "warn" or "error". Throws std::invalid_argument naming
 // what it can't use.
-void StartLog(LogForm form, const std::string& least);
-void LogEvent(LogLevel level, const std::string& event, const LogFields& fields = {});
+void StartLog(Format form, const std::string& least);
+void Write(Level level, const std::string& event, const Fields& fields = {});
 // The line as it is written, for tests and tools.
-std::string LogLine(LogForm form, LogLevel level, const std::string& time, const std::string& event,
-                    const LogFields& fields);
+std::string FormatLine(Format form, Level level, const std::string& time, const std::string& event,
+                       const Fields& fields);
 
-}  // namespace meadowyard
+}  // namespace meadowyard::log
 
 #endif  // MEADOWYARD_LOG_LOG_HPP_
--- a/src/membership/peer_transport.cpp
+++ b/src/membership/peer_transport.cpp
@@ -36,7 +36,7 @@
 PeerLink::PeerLink(asio::io_context& io, PeersConfig config, Handlers handlers)
     : config_(std::move(config)),
       handlers_(std::move(handlers)),
-      view_(Names(config_), config_.self, {config_.silent, config_.gone}, Draw(), Now()),
+      view_(Names(config_), config_.self, {config_.silent, config_.gone}, Draw(), core::Now()),
       socket_(io),
       timer_(io),
       random_(Draw()) {
@@ -50,8 +50,8 @@
   if (!ec) socket_.non_blocking(true, ec);
   if (!ec) return Read();
   if (!std::exchange(told_taken_, true)) {
-    LogEvent(LogLevel::kWarn, "peers_not_heard",
-             {{"address", ToText(config_.listen)}, {"why", ec.message()}, {"text", "trying again"}});
+    log::Write(log::Level::kWarn, "peers_not_heard",
+               {{"address", ToText(config_.listen)}, {"why", ec.message()}, {"text", "trying again"}});
   }
   socket_.close(ec);
 }
@@ -78,7 +78,7 @@
     handlers_.duty(static_cast<int>(peer - config_.all.begin()), duty->duty, duty->word);
     return;
   }
-  const Millis now = Now();
+  const Millis now = core::Now();
   if (!view_.OnHeartbeat(now, *beat)) return;
   ++heard_;
   if (beat->zone_load) handlers_.seen(static_cast<int>(peer - config_.all.begin()), *beat->zone_load);
@@ -98,13 +98,13 @@
 }
 
 void PeerLink::Tell(Gossip gossip) {
-  const MembershipView::Snapshot look = view_.TakeSnapshot(Now());
+  const MembershipView::Snapshot look = view_.TakeSnapshot(core::Now());
   handlers_.news({look.configured, look.present, look.rank, look.quorum_until, std::move(gossip)});
 }
 
 void PeerLink::Beats() {
   if (!socket_.is_open()) Open();
-  const Millis now = Now();
+  const Millis now = core::Now();
   Heartbeat beat = view_.NextHeartbeat(now);
   const Gossip gossip = handlers_.gossip();
   for (const Gossip::Start& s : gossip.started)
@@ -120,14 +120,14 @@
   }
   Tell({});
   handlers_.beat(static_cast<double>(random_() >> 11) / 9007199254740992.0);
-  timer_.expires_after(Span(config_.beat));
+  timer_.expires_after(core::ToDuration(config_.beat));
   timer_.async_wait([this](error_code ec) {
     if (!ec) Beats();
   });
 }
 
 nlohmann::json PeerLink::Status() const {
-  const Millis now = Now();
+  const Millis now = core::Now();
   const MembershipView::Snapshot look = view_.TakeSnapshot(now);
   nlohmann::json peers = nlohmann::json::array();
   for (std::size_t i = 0; i < view_.members().size(); ++i) {
--- a/src/operations/admin_server.cpp
+++ b/src/operations/admin_server.cpp
@@ -99,7 +99,7 @@
 
  private:
   void Arm(Millis wait) {
-    timer_.expires_after(Span(wait));
+    timer_.expires_after(core::ToDuration(wait));
     timer_.async_wait([self = shared_from_this()](error_code ec) {
       if (ec || self->closed_) return;
       if (self->answered_) return self->Close();
@@ -161,7 +161,7 @@
       Accept();  // first: whatever becomes of this call, the next is taken
       return Take(std::move(socket));
     }
-    accept_again_.expires_after(Span(kAcceptAgain));  // at once would spin
+    accept_again_.expires_after(core::ToDuration(kAcceptAgain));  // at once would spin
     accept_again_.async_wait([this](error_code wait_ec) {
       if (!wait_ec) Accept();
     });
--- a/src/operations/handover.cpp
+++ b/src/operations/handover.cpp
@@ -144,9 +144,9 @@
     return std::nullopt;
   }
   Inheritance inheritance;
-  for (const Millis until = Now() + kAskWithin; Now() < until;) {
+  for (const Millis until = core::Now() + kAskWithin; core::Now() < until;) {
     pollfd wait = {link.get(), POLLIN, 0};
-    ::poll(&wait, 1, static_cast<int>(std::max(1.0, until - Now())));
+    ::poll(&wait, 1, static_cast<int>(std::max(1.0, until - core::Now())));
     bool ended = false;
     while (auto message = ReceiveMessage(link.get(), ended)) {
       if (message->kind == Message::Kind::kDoor) {
--- a/src/operations/live_settings.hpp
+++ b/src/operations/live_settings.hpp
@@ -12,11 +12,12 @@
 class LiveSettings {
  public:
   struct Handlers {
-    std::function<void(const Config&)> taken;
+    std::function<void(const config::Configuration&)> taken;
     std::function<void(const std::string& why)> turned_down;  // one line that names the field
   };
   // `variable` as for LoadConfig; `in_force` is what the gateway was started with.
-  LiveSettings(std::function<const char*(const char*)> variable, const Config& in_force, Handlers handlers);
+  LiveSettings(std::function<const char*(const char*)> variable, const config::Configuration& in_force,
+               Handlers handlers);
 
   void Reload();
 
--- a/src/operations/state_text.cpp
+++ b/src/operations/state_text.cpp
@@ -74,7 +74,7 @@
 std::string ToText(const GatewayState& state) {
   const json whole = {{"file", state.file},
                       {"discovery", state.discovery},
-                      {"hosts", ToText(state.hosts)},
+                      {"hosts", discovery::SerializeEndpointList(state.hosts)},
                       {"revision_known", state.revision_known},
                       {"learned", state.learned},
                       {"descriptors", state.descriptors},
@@ -88,7 +88,7 @@
     GatewayState state;
     state.file = whole.at("file").get<std::string>();
     state.discovery = whole.at("discovery").get<std::string>();
-    const auto hosts = ParseHostList(whole.at("hosts").get<std::string>());
+    const auto hosts = discovery::ParseEndpointList(whole.at("hosts").get<std::string>());
     if (!hosts) return std::nullopt;
     state.hosts = *hosts;
     state.revision_known = whole.at("revision_known").get<bool>();
--- a/src/operations/state_text.hpp
+++ b/src/operations/state_text.hpp
@@ -12,9 +12,9 @@
 namespace meadowyard {
 
 struct GatewayState {
-  std::string file;       // the configuration in force
-  std::string discovery;  // its address
-  HostList hosts;         // as discovery told them
+  std::string file;               // the configuration in force
+  std::string discovery;          // its address
+  discovery::EndpointList hosts;  // as discovery told them
   bool revision_known = false;
   LearnedState learned;
   std::size_t descriptors = 0;  // that the process holds
--- a/src/operations/succession.cpp
+++ b/src/operations/succession.cpp
@@ -37,8 +37,8 @@
   if (std::exchange(serving_, true)) return;
   if (before_) before_->Send(Kind::kReady, "");
   if (may_be_followed_ && !server_.Listen()) {
-    LogEvent(LogLevel::kWarn, "handover_unreachable",
-             {{"text", "the next version will not find this one in $TMPDIR"}});
+    log::Write(log::Level::kWarn, "handover_unreachable",
+               {{"text", "the next version will not find this one in $TMPDIR"}});
   }
 }
 
@@ -57,8 +57,8 @@
     sent = sent && SendMessage(socket.get(), Kind::kDoor, key, door);
   }
   if (!sent || !SendMessage(socket.get(), Kind::kEnd, "")) {
-    LogEvent(LogLevel::kWarn, "handover_failed",
-             {{"text", "could not tell the next version what this one knows"}});
+    log::Write(log::Level::kWarn, "handover_failed",
+               {{"text", "could not tell the next version what this one knows"}});
     return;
   }
   next_ = std::make_unique<Link>(io_, std::move(socket));
@@ -70,7 +70,7 @@
     case Kind::kClient: return handlers_.client(message.text, std::move(message.descriptor));
     case Kind::kHost: {
       const std::size_t space = message.text.find(' ');
-      const auto address = ParseEndpoint(message.text.substr(0, space));
+      const auto address = discovery::ParseAddress(message.text.substr(0, space));
       if (!address || space == std::string::npos) return;
       return handlers_.host(message.text.substr(space + 1), *address, std::move(message.descriptor));
     }
@@ -91,7 +91,7 @@
   if (message.kind == Kind::kReady && !succeeded_) {
     succeeded_ = true;
     server_.Close();
-    LogEvent(LogLevel::kInfo, "succeeded", {{"text", "the next version serves"}});
+    log::Write(log::Level::kInfo, "succeeded", {{"text", "the next version serves"}});
     handlers_.succeeded();
     TellHeld();
   } else if (message.kind == Kind::kOut || message.kind == Kind::kBack) {
@@ -104,7 +104,7 @@
 void Succession::NextEnded() {
   next_.reset();
   if (!std::exchange(succeeded_, false)) return;
-  LogEvent(LogLevel::kWarn, "abandoned", {{"text", "the next version has ended; this one serves again"}});
+  log::Write(log::Level::kWarn, "abandoned", {{"text", "the next version has ended; this one serves again"}});
   tell_.cancel();
   handlers_.abandoned();
   server_.Listen();
@@ -113,7 +113,7 @@
 void Succession::TellHeld() {
   if (!next_) return;
   next_->Send(Kind::kHeld, std::to_string(handlers_.held()));
-  tell_.expires_after(Span(kTellEvery));
+  tell_.expires_after(core::ToDuration(kTellEvery));
   tell_.async_wait([this](error_code ec) {
     if (!ec) TellHeld();
   });
@@ -125,7 +125,7 @@
 
 bool Succession::PassHost(const std::string& host, const boost::asio::ip::tcp::endpoint& address,
                           int socket) {
-  return next_ && next_->Send(Kind::kHost, ToText(address) + " " + host, socket);
+  return next_ && next_->Send(Kind::kHost, discovery::FormatAddress(address) + " " + host, socket);
 }
 
 bool Succession::PassTunnel(std::string_view text, int client, int host) {
--- a/src/upstream/answer_reader.cpp
+++ b/src/upstream/answer_reader.cpp
@@ -29,27 +29,27 @@
 }  // namespace
 
 // The rest of a long answer, for whoever passes it on. It outlives the connection's part in it.
-struct AnswerReader::Stream : BodySource {
+struct AnswerReader::Stream : core::BodySource {
   Stream(AnswerReader& from, std::optional<std::uint64_t> size)
       : reader(&from), owner(from.handlers_.owner()), executor(from.socket_.get_executor()), total(size) {}
-  void Ask(Take take) override {
+  void RequestData(DataCallback take) override {
     asked = true;
     const auto held = owner.lock();
     if (!end && held) return reader->ReadOn(std::move(take));
-    asio::post(executor, [next = end.value_or(Next::kBroken), take = std::move(take)] { take(next, {}); });
+    asio::post(executor, [next = end.value_or(Status::kBroken), take = std::move(take)] { take(next, {}); });
   }
-  void Abandon() override {
+  void Cancel() override {
     const auto held = owner.lock();
     if (!end && held) reader->handlers_.abandoned();
   }
   std::optional<std::uint64_t> length() const override { return total; }
-  bool begun() const override { return asked; }
+  bool data_requested() const override { return asked; }
 
   AnswerReader* const reader;  // while its owner lives
   const std::weak_ptr<void> owner;
   boost::asio::ip::tcp::socket::executor_type executor;
   const std::optional<std::uint64_t> total;
-  std::optional<Next> end;  // once the connection has no more part in it
+  std::optional<Status> end;  // once the connection has no more part in it
   bool asked = false;
 };
 
@@ -61,7 +61,7 @@
 
 void AnswerReader::Reset() {
   ++turn_;
-  EndStream(BodySource::Next::kBroken);
+  EndStream(core::BodySource::Status::kBroken);
 }
 
 void AnswerReader::Rest() {
@@ -71,7 +71,7 @@
 
 void AnswerReader::ReadHead() {
   parser_.emplace();
-  parser_->body_limit(kMostStream);
+  parser_->body_limit(core::kMaxBodyBytes);
   parser_->header_limit(kMostHeader);
   http::async_read_header(socket_, buffer_, *parser_,
                           [this, owner = handlers_.owner(), turn = turn_](error_code ec, std::size_t) {
@@ -89,7 +89,7 @@
     return ReadHead();
   }
   const auto length = parser_->content_length();
-  if (FramingOf(head) != Framing::kDelimited || (length && *length > kMostStream)) {
+  if (FramingOf(head) != Framing::kDelimited || (length && *length > core::kMaxBodyBytes)) {
     return handlers_.failed(AttemptResult::kReset);
   }
   keep_alive_ = head.keep_alive();
@@ -101,8 +101,8 @@
 template <typename Then>
 void AnswerReader::ReadPiece(Then then) {
   // No more than the body can still have: most are far shorter than a piece.
-  const std::uint64_t left = parser_->content_length_remaining().value_or(kPiece);
-  piece_.resize(static_cast<std::size_t>(std::clamp<std::uint64_t>(left, 1, kPiece)));
+  const std::uint64_t left = parser_->content_length_remaining().value_or(core::kMaxPieceBytes);
+  piece_.resize(static_cast<std::size_t>(std::clamp<std::uint64_t>(left, 1, core::kMaxPieceBytes)));
   parser_->get().body() = {piece_.data(), piece_.size(), true};
   http::async_read_some(socket_, buffer_, *parser_,
                         [this, owner = handlers_.owner(), turn = turn_, then](error_code ec, std::size_t) {
@@ -128,8 +128,8 @@
   });
 }
 
-Reply AnswerReader::TakeReply() {
-  Reply reply;
+core::ResponseMessage AnswerReader::TakeReply() {
+  core::ResponseMessage reply;
   const auto& head = parser_->get();
   reply.fields = EndToEnd(head);
   reply.load_report = reply.fields.Get("Srv-Load");
@@ -147,12 +147,12 @@
   const auto owner = handlers_.owner();  // who is told may abandon it
   handlers_.begun(TakeReply(), stream);
   if (stream_ == stream && parser_->is_done()) {
-    EndStream(BodySource::Next::kWhole);
+    EndStream(core::BodySource::Status::kComplete);
     handlers_.streamed(keep_alive_);
   }
 }
 
-void AnswerReader::ReadOn(BodySource::Take take) {
+void AnswerReader::ReadOn(core::BodySource::DataCallback take) {
   ask_ = std::move(take);
   handlers_.awaits_host(true);
   ReadPiece([this](error_code ec, std::string_view piece) {
@@ -162,15 +162,15 @@
     const auto take = std::exchange(ask_, nullptr);
     const std::string text(piece);  // the connection may go on to other work
     if (parser_->is_done()) {
-      EndStream(BodySource::Next::kWhole);
+      EndStream(core::BodySource::Status::kComplete);
       handlers_.streamed(keep_alive_);
     }
-    if (!text.empty()) return take(BodySource::Next::kPiece, text);
-    stream_ ? ReadOn(take) : take(BodySource::Next::kWhole, {});
+    if (!text.empty()) return take(core::BodySource::Status::kData, text);
+    stream_ ? ReadOn(take) : take(core::BodySource::Status::kComplete, {});
   });
 }
 
-void AnswerReader::EndStream(BodySource::Next end) {
+void AnswerReader::EndStream(core::BodySource::Status end) {
   if (stream_) stream_->end = end;
   stream_.reset();
   if (const auto take = std::exchange(ask_, nullptr)) take(end, {});
--- a/src/upstream/answer_reader.hpp
+++ b/src/upstream/answer_reader.hpp
@@ -22,9 +22,9 @@
   struct Handlers {
     std::function<std::shared_ptr<void>()> owner;  // kept while something is awaited
     // It was read whole; `keep_alive`: the connection can be used again.
-    std::function<void(AttemptResult, Reply, bool keep_alive)> received;
+    std::function<void(AttemptResult, core::ResponseMessage, bool keep_alive)> received;
     // A long one has begun; `streamed` or `failed` follows.
-    std::function<void(Reply, std::shared_ptr<BodySource>)> begun;
+    std::function<void(core::ResponseMessage, std::shared_ptr<core::BodySource>)> begun;
     std::function<void(bool keep_alive)> streamed;
     std::function<void(bool waiting)> awaits_host;  // a piece is awaited from the host, or was taken in
     std::function<void()> abandoned;                // by whoever passes the long one on
@@ -51,19 +51,19 @@
   void ReadPiece(Then then);
   void ReadBody();
   void BeginStream();
-  void ReadOn(BodySource::Take take);
-  void EndStream(BodySource::Next end);
-  Reply TakeReply();
+  void ReadOn(core::BodySource::DataCallback take);
+  void EndStream(core::BodySource::Status end);
+  core::ResponseMessage TakeReply();
 
   boost::asio::ip::tcp::socket& socket_;
   const Handlers handlers_;
   boost::beast::flat_buffer buffer_{32768};  // holds a whole head; bodies pass through it
   std::optional<boost::beast::http::response_parser<boost::beast::http::buffer_body>> parser_;
-  std::string body_;                // of a short answer, or the first of a long one
-  std::string piece_;               // as it is read
-  std::shared_ptr<Stream> stream_;  // the long answer that is being passed on
-  BodySource::Take ask_;            // who waits for a piece of it
-  bool keep_alive_ = false;         // after it
+  std::string body_;                    // of a short answer, or the first of a long one
+  std::string piece_;                   // as it is read
+  std::shared_ptr<Stream> stream_;      // the long answer that is being passed on
+  core::BodySource::DataCallback ask_;  // who waits for a piece of it
+  bool keep_alive_ = false;             // after it
   int interim_ = 0;
   std::uint64_t turn_ = 0;
 };
--- a/src/upstream/connection.cpp
+++ b/src/upstream/connection.cpp
@@ -31,21 +31,21 @@
       writer_(socket_,
               {[this] { return shared_from_this(); }, [this] { Written(); },
                [this] { End(AttemptResult::kConnectFailed); }, [this] { End(AttemptResult::kNotSent); },
-               [this] { Arm(Now() + kStreamPause); }, [this] { Disarm(); }}),
+               [this] { Arm(core::Now() + kStreamPause); }, [this] { Disarm(); }}),
       reader_(socket_,
               {[this] { return shared_from_this(); },
-               [this](AttemptResult result, Reply reply, bool keep_alive) {
+               [this](AttemptResult result, core::ResponseMessage reply, bool keep_alive) {
                  Release(keep_alive);
                  Finish(result, std::move(reply));
                },
-               [this](Reply reply, std::shared_ptr<BodySource> rest) {
+               [this](core::ResponseMessage reply, std::shared_ptr<core::BodySource> rest) {
                  job_->begun(std::move(reply), std::move(rest));
                },
                [this](bool keep_alive) {
                  Release(keep_alive);
                  Finish(AttemptResult::kServed, {});
                },
-               [this](bool waiting) { waiting ? Arm(Now() + kStreamPause) : Disarm(); },
+               [this](bool waiting) { waiting ? Arm(core::Now() + kStreamPause) : Disarm(); },
                [this] { End(AttemptResult::kCancelled); }, [this](AttemptResult result) { End(result); }}) {}
 
 bool HostPool::Connection::Open() {
@@ -73,7 +73,7 @@
 
 void HostPool::Connection::Dial(Job job) {
   Take(std::move(job));
-  Arm(std::min(job_->deadline, Now() + pool_.limits_.dial_timeout));
+  Arm(std::min(job_->deadline, core::Now() + pool_.limits_.dial_timeout));
   socket_.async_connect(address_, [this, self = shared_from_this()](error_code ec) {
     if (open_) Dialled(ec);
   });
@@ -115,7 +115,7 @@
   if (pool_.pass_ && Pass()) return Close();
   writer_.Reset();
   reader_.Rest();
-  rested_at_ = Now();
+  rested_at_ = core::Now();
   Arm(rested_at_ + pool_.limits_.idle_timeout * kIdleShare);
   // No peek, though that would save a call to epoll: an edge that a pending peek has used up is lost to the
   // read that follows it, and a reset would go unnoticed.
@@ -133,7 +133,7 @@
   pool_.active_[job_->attempt] = shared_from_this();
 }
 
-void HostPool::Connection::Finish(AttemptResult result, Reply reply) {
+void HostPool::Connection::Finish(AttemptResult result, core::ResponseMessage reply) {
   if (!job_) return;
   const Job job = *std::exchange(job_, std::nullopt);
   pool_.active_.erase(job.attempt);
@@ -146,7 +146,7 @@
   due_ = until;
   if (waits_ > 0 && waits_ <= until) return;
   waits_ = until;
-  timer_.expires_after(Span(until - Now()));
+  timer_.expires_after(core::ToDuration(until - core::Now()));
   timer_.async_wait([this, self = shared_from_this()](error_code ec) {
     if (ec || !open_) return;
     waits_ = 0;
@@ -158,7 +158,7 @@
 
 void HostPool::Connection::TimeUp() {
   if (due_ == kNoEnd) return;
-  if (Now() < due_ - 0.5) return Arm(due_);
+  if (core::Now() < due_ - 0.5) return Arm(due_);
   if (!job_) {
     pool_.Forget(host_, this);
     return Close();
@@ -177,13 +177,13 @@
 }
 
 void HostPool::Connection::Write() {
-  const auto call = std::exchange(job_->call, nullptr);
-  writer_.Write(*call, job_->rest, job_->rest ? job_->patience : job_->deadline - Now());
+  const auto call = std::exchange(job_->message, nullptr);
+  writer_.Write(*call, job_->body_source, job_->body_source ? job_->patience : job_->deadline - core::Now());
 }
 
 void HostPool::Connection::Written() {
-  if (job_->rest) Arm(job_->deadline = Now() + job_->patience);
-  job_->rest.reset();
+  if (job_->body_source) Arm(job_->deadline = core::Now() + job_->patience);
+  job_->body_source.reset();
   job_->written();
   reader_.Read();
 }
--- a/src/upstream/connection.hpp
+++ b/src/upstream/connection.hpp
@@ -17,7 +17,7 @@
 
 class HostPool::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  struct Job : Errand {
+  struct Job : core::AttemptRequest {
     std::uint64_t attempt = 0;
     Millis patience = 0;  // from when the request is whole, where its body is still coming
   };
@@ -45,7 +45,7 @@
 
  private:
   void Take(Job job);
-  void Finish(AttemptResult result, Reply reply);
+  void Finish(AttemptResult result, core::ResponseMessage reply);
   void Arm(Millis until);
   void Disarm();
   void TimeUp();
--- a/src/upstream/host_pool.cpp
+++ b/src/upstream/host_pool.cpp
@@ -29,13 +29,13 @@
   limits_.idle_timeout = idle_timeout;
 }
 
-void HostPool::Update(const HostList& list) {
-  if (list.complete) {
+void HostPool::Update(const discovery::EndpointList& list) {
+  if (list.is_snapshot) {
     for (auto& [id, host] : hosts_) host.up = false;
   }
-  for (const Host& entry : list.hosts) {
-    HostState& host = hosts_[entry.server.id];
-    host.up = entry.server.state == EndpointState::kUp;
+  for (const discovery::EndpointRecord& entry : list.endpoints) {
+    HostState& host = hosts_[entry.endpoint.id];
+    host.up = entry.endpoint.state == EndpointState::kUp;
     if (host.address != entry.address) CloseIdle(host);
     host.address = entry.address;
   }
@@ -45,7 +45,7 @@
   std::erase_if(hosts_, [](const auto& entry) { return !entry.second.up; });
 }
 
-std::uint64_t HostPool::Start(const std::string& host, Errand errand) {
+std::uint64_t HostPool::Start(const std::string& host, core::AttemptRequest errand) {
   const std::uint64_t attempt = next_attempt_++;
   if (handlers_.current()) {
     Begin(attempt, host, std::move(errand));
@@ -75,17 +75,17 @@
   return true;
 }
 
-void HostPool::Begin(std::uint64_t attempt, const std::string& host, Errand errand) {
+void HostPool::Begin(std::uint64_t attempt, const std::string& host, core::AttemptRequest errand) {
   const auto found = hosts_.find(host);
-  if (found == hosts_.end() || Now() >= errand.deadline) {
+  if (found == hosts_.end() || core::Now() >= errand.deadline) {
     errand.done(AttemptResult::kNotSent, {});
     return;
   }
-  const Millis patience = errand.deadline - Now();
+  const Millis patience = errand.deadline - core::Now();
   Connection::Job job{std::move(errand), attempt, patience};
   auto& idle = found->second.idle;
   // The most recently used of those that have rested for long enough: they are in that order.
-  const Millis rested = Now() - limits_.second_answer;
+  const Millis rested = core::Now() - limits_.second_answer;
   auto end = std::find_if(idle.begin(), idle.end(), [&](const auto& c) { return c->rested_at() > rested; });
   while (end != idle.begin()) {
     end = std::prev(end);
@@ -119,7 +119,7 @@
   connection->End(AttemptResult::kCancelled);
 }
 
-void HostPool::Withdraw(std::uint64_t attempt) {
+void HostPool::CancelIfUnsent(std::uint64_t attempt) {
   if (EndWaiting(attempt, AttemptResult::kNotSent)) return;
   const auto found = active_.find(attempt);
   if (found == active_.end() || found->second->SentWhole()) return;
--- a/src/upstream/host_pool.hpp
+++ b/src/upstream/host_pool.hpp
@@ -19,7 +19,7 @@
 
 namespace meadowyard {
 
-class HostPool : public Upstream {
+class HostPool : public core::Upstream {
  public:
   struct Limits {
     Millis dial_timeout = 250;
@@ -38,17 +38,17 @@
 
   // Takes effect at once: a host that drains or is gone is sent nothing more, not even on a connection that
   // is being dialled.
-  void Update(const HostList& list);
+  void Update(const discovery::EndpointList& list);
   // Closes the idle connections to a host that is left alone for a while.
   void Rest(const std::string& host);
   // Hosts' time-outs as the settings have them now.
   void SetTimes(Millis dial_timeout, Millis idle_timeout);
 
   // Sends the request unless the host is not to be used any more. Returns a number for Cancel.
-  std::uint64_t Start(const std::string& host, Errand errand) override;
+  std::uint64_t Start(const std::string& host, core::AttemptRequest errand) override;
   // Ends an attempt that is still out, with kCancelled. Its connection is closed.
   void Cancel(std::uint64_t attempt) override;
-  void Withdraw(std::uint64_t attempt) override;
+  void CancelIfUnsent(std::uint64_t attempt) override;
   // Sends what waited for the list.
   void Resume();
 
@@ -73,9 +73,9 @@
 
   struct Waiting {
     std::string host;
-    Errand errand;
+    core::AttemptRequest errand;
   };
-  void Begin(std::uint64_t attempt, const std::string& host, Errand errand);
+  void Begin(std::uint64_t attempt, const std::string& host, core::AttemptRequest errand);
   bool EndWaiting(std::uint64_t attempt, AttemptResult result);
   void CloseIdle(HostState& host);
   bool EvictIdle();
--- a/src/upstream/parent_handshake.cpp
+++ b/src/upstream/parent_handshake.cpp
@@ -38,7 +38,7 @@
     return;
   }
   stage_ = Stage::kHead;
-  const std::string authority = ToText(target_);
+  const std::string authority = discovery::FormatAddress(target_);
   output_ = "CONNECT " + authority + " HTTP/1.1\r\nHost: " + authority + "\r\n";
   if (!parent_.user.empty()) {
     output_ += "Proxy-Authorization: Basic " + ToBase64(parent_.user + ":" + parent_.password) + "\r\n";
--- a/src/upstream/request_writer.cpp
+++ b/src/upstream/request_writer.cpp
@@ -11,16 +11,17 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-std::string Serialize(const Call& call, const BodySource* rest, std::int64_t left) {
+std::string Serialize(const core::RequestMessage& call, const core::BodySource* rest, std::int64_t left) {
   std::string text;
   text.reserve(512 + call.body.size());
   text.append(call.method).append(" ").append(call.target).append(" HTTP/1.1\r\n");
   call.fields.ForEach([&](std::string_view name, std::string_view value) {
-    if (!EqualNames(name, "Req-Deadline")) text.append(name).append(": ").append(value).append("\r\n");
+    if (!core::EqualFieldNames(name, "Req-Deadline"))
+      text.append(name).append(": ").append(value).append("\r\n");
   });
   text.append("Req-Deadline: ").append(std::to_string(std::max<std::int64_t>(1, left))).append("m\r\n");
   if (rest != nullptr && !rest->length())
-    return text.append("Transfer-Encoding: chunked\r\n\r\n").append(Framed(call.body, true));
+    return text.append("Transfer-Encoding: chunked\r\n\r\n").append(core::EncodeBodyData(call.body, true));
   const std::uint64_t length = rest != nullptr ? *rest->length() : call.body.size();
   const bool bodiless = length == 0 && (call.method == "GET" || call.method == "HEAD");
   if (!bodiless) text.append("Content-Length: ").append(std::to_string(length)).append("\r\n");
@@ -29,7 +30,8 @@
 
 }  // namespace
 
-void RequestWriter::Write(const Call& call, std::shared_ptr<BodySource> rest, Millis patience) {
+void RequestWriter::Write(const core::RequestMessage& call, std::shared_ptr<core::BodySource> rest,
+                          Millis patience) {
   rest_ = std::move(rest);
   whole_ = !rest_;
   chunked_ = rest_ && !rest_->length();
@@ -67,15 +69,16 @@
 // The next piece of a body that is still coming. If its client stalls, its side says so.
 void RequestWriter::AskOn() {
   handlers_.awaits_body();
-  rest_->Ask([this, owner = handlers_.owner(), turn = turn_](BodySource::Next next, std::string_view piece) {
-    if (turn_ != turn) return;
-    if (next == BodySource::Next::kBroken) return handlers_.broken();
-    whole_ = next == BodySource::Next::kWhole;
-    if (whole_ && !chunked_) return WriteMore();  // nothing is left to write
-    text_ = whole_ ? std::string(kLastChunk) : Framed(piece, chunked_);
-    written_ = 0;
-    WriteMore();
-  });
+  rest_->RequestData(
+      [this, owner = handlers_.owner(), turn = turn_](core::BodySource::Status next, std::string_view piece) {
+        if (turn_ != turn) return;
+        if (next == core::BodySource::Status::kBroken) return handlers_.broken();
+        whole_ = next == core::BodySource::Status::kComplete;
+        if (whole_ && !chunked_) return WriteMore();  // nothing is left to write
+        text_ = whole_ ? std::string(core::kLastChunk) : core::EncodeBodyData(piece, chunked_);
+        written_ = 0;
+        WriteMore();
+      });
 }
 
 }  // namespace meadowyard
--- a/src/upstream/request_writer.hpp
+++ b/src/upstream/request_writer.hpp
@@ -26,7 +26,7 @@
       : socket_(socket), handlers_(std::move(handlers)) {}
 
   // `patience`: how long the gateway will wait, which the host is told.
-  void Write(const Call& call, std::shared_ptr<BodySource> rest, Millis patience);
+  void Write(const core::RequestMessage& call, std::shared_ptr<core::BodySource> rest, Millis patience);
   bool WrittenWhole() const { return whole_ && !text_.empty() && written_ == text_.size(); }
   // Forgets the request; what was awaited means nothing any more.
   void Reset();
@@ -37,7 +37,7 @@
 
   boost::asio::ip::tcp::socket& socket_;
   const Handlers handlers_;
-  std::shared_ptr<BodySource> rest_;
+  std::shared_ptr<core::BodySource> rest_;
   std::string text_;         // all of the request, or the latest piece of its body
   std::size_t written_ = 0;  // bytes of it that the kernel has taken
   bool whole_ = false;       // no more pieces follow
--- a/src/upstream/tunnel_dialer.cpp
+++ b/src/upstream/tunnel_dialer.cpp
@@ -22,7 +22,8 @@
 // One attempt, until it ends or its way is open.
 class TunnelDialer::Dial : public std::enable_shared_from_this<Dial> {
  public:
-  Dial(TunnelDialer& owner, std::uint64_t number, std::string host, tcp::endpoint target, Errand errand)
+  Dial(TunnelDialer& owner, std::uint64_t number, std::string host, tcp::endpoint target,
+       core::AttemptRequest errand)
       : owner_(&owner),
         number_(number),
         host_(std::move(host)),
@@ -63,8 +64,8 @@
  private:
   // Whatever it waits for, the host has had nothing of the client's: it never ran.
   void Arm(Millis wait) {
-    const Millis left = std::min(wait, errand_.deadline - Now());
-    timer_.expires_after(Span(left));
+    const Millis left = std::min(wait, errand_.deadline - core::Now());
+    timer_.expires_after(core::ToDuration(left));
     // One that was due already when it was set anew is told all the same.
     timer_.async_wait([self = shared_from_this(), turn = ++waits_](error_code ec) {
       if (!ec && self->waits_ == turn) self->End(AttemptResult::kConnectFailed);
@@ -119,7 +120,8 @@
     ended_ = true;
     timer_.cancel();
     Forget();
-    auto opened = std::make_unique<Opened>(Opened{host_, std::move(socket_), std::move(input_)});
+    auto opened = std::make_unique<core::TunnelEndpoint>(
+        core::TunnelEndpoint{host_, std::move(socket_), std::move(input_)});
     errand_.opened(std::move(opened));
   }
 
@@ -127,7 +129,7 @@
   const std::uint64_t number_;
   const std::string host_;
   const tcp::endpoint target_;
-  Errand errand_;
+  core::AttemptRequest errand_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   std::uint64_t waits_ = 0;  // which wait of the timer is the one that counts
@@ -144,21 +146,21 @@
   for (const auto& [number, dial] : std::exchange(dials_, {})) dial->Abandon();
 }
 
-void TunnelDialer::Update(const HostList& list) {
-  if (list.complete) hosts_.clear();
-  for (const Host& host : list.hosts) {
-    if (host.server.state == EndpointState::kUp) {
-      hosts_[host.server.id] = host.address;
+void TunnelDialer::Update(const discovery::EndpointList& list) {
+  if (list.is_snapshot) hosts_.clear();
+  for (const discovery::EndpointRecord& host : list.endpoints) {
+    if (host.endpoint.state == EndpointState::kUp) {
+      hosts_[host.endpoint.id] = host.address;
     } else {
-      hosts_.erase(host.server.id);
+      hosts_.erase(host.endpoint.id);
     }
   }
 }
 
-std::uint64_t TunnelDialer::Start(const std::string& host, Errand errand) {
+std::uint64_t TunnelDialer::Start(const std::string& host, core::AttemptRequest errand) {
   const std::uint64_t number = next_++;
   const auto found = hosts_.find(host);
-  if (found == hosts_.end() || !may_use_(host) || Now() >= errand.deadline) {
+  if (found == hosts_.end() || !may_use_(host) || core::Now() >= errand.deadline) {
     errand.done(AttemptResult::kNotSent, {});
     return number;
   }
--- a/src/upstream/tunnel_dialer.hpp
+++ b/src/upstream/tunnel_dialer.hpp
@@ -17,7 +17,7 @@
 
 namespace meadowyard {
 
-class TunnelDialer : public Upstream {
+class TunnelDialer : public core::Upstream {
  public:
   struct Times {
     Millis dial = 250;
@@ -28,14 +28,14 @@
                std::function<bool(const std::string& host)> may_use);
   ~TunnelDialer() override;
 
-  void Update(const HostList& list);
+  void Update(const discovery::EndpointList& list);
   void SetTimes(Times times) { times_ = times; }
   void SetParent(std::optional<ParentAccess> parent) { parent_ = std::move(parent); }
 
-  std::uint64_t Start(const std::string& host, Errand errand) override;
+  std::uint64_t Start(const std::string& host, core::AttemptRequest errand) override;
   void Cancel(std::uint64_t attempt) override { End(attempt, AttemptResult::kCancelled); }
   // A tunnel is sent nothing until it is open.
-  void Withdraw(std::uint64_t attempt) override { End(attempt, AttemptResult::kNotSent); }
+  void CancelIfUnsent(std::uint64_t attempt) override { End(attempt, AttemptResult::kNotSent); }
 
  private:
   class Dial;
@@ -50,21 +50,21 @@
 };
 
 // Tunnels by one upstream, all else by another.
-class SplitUpstream : public Upstream {
+class SplitUpstream : public core::Upstream {
  public:
-  SplitUpstream(Upstream& requests, Upstream& tunnels) : requests_(requests), tunnels_(tunnels) {}
-  std::uint64_t Start(const std::string& host, Errand errand) override {
+  SplitUpstream(core::Upstream& requests, core::Upstream& tunnels) : requests_(requests), tunnels_(tunnels) {}
+  std::uint64_t Start(const std::string& host, core::AttemptRequest errand) override {
     const bool tunnel = errand.opened != nullptr;
     return (tunnel ? tunnels_ : requests_).Start(host, std::move(errand)) << 1 | (tunnel ? 1u : 0u);
   }
   void Cancel(std::uint64_t attempt) override { Of(attempt).Cancel(attempt >> 1); }
-  void Withdraw(std::uint64_t attempt) override { Of(attempt).Withdraw(attempt >> 1); }
+  void CancelIfUnsent(std::uint64_t attempt) override { Of(attempt).CancelIfUnsent(attempt >> 1); }
 
  private:
-  Upstream& Of(std::uint64_t attempt) { return attempt & 1 ? tunnels_ : requests_; }
+  core::Upstream& Of(std::uint64_t attempt) { return attempt & 1 ? tunnels_ : requests_; }
 
-  Upstream& requests_;
-  Upstream& tunnels_;
+  core::Upstream& requests_;
+  core::Upstream& tunnels_;
 };
 
 }  // namespace meadowyard
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -1,7 +1,7 @@
 // Where operators call, and what they are shown: the listener on its own, and on a gateway with hosts.
 #include <gtest/gtest.h>
 
-#include "core/figures.hpp"
+#include "core/metrics.hpp"
 #include "operations/admin_server.hpp"
 #include "peers.hpp"
 #include "world.hpp"
@@ -10,7 +10,6 @@
 namespace {
 
 using meadowyard::AdminServer;
-using meadowyard::Figures;
 
 struct Listener {
   explicit Listener(AdminServer::Limits limits = AdminServer::Limits())
@@ -92,18 +91,18 @@
 // Guards the sums: a request that its client left counts under nothing, and a dropped class keeps its
 // figures.
 TEST(Figures, CountEachRequestOnce) {
-  Figures figures;
+  core::Metrics figures;
   TrafficClassSettings view, pay;
   view.name = "view";
   pay.name = "pay";
-  figures.Know({view, pay});
-  for (int i = 0; i < 5; ++i) figures.Taken();
-  figures.Ended("view", Figures::End::kAnswered);
-  figures.Ended("view", Figures::End::kDeferred);
-  figures.Ended("view", Figures::End::kLeft);
-  figures.Ended("pay", Figures::End::kErrored);
-  figures.Sent("pay");
-  figures.Know({pay});
+  figures.SetClasses({view, pay});
+  for (int i = 0; i < 5; ++i) figures.OnRequestAccepted();
+  figures.OnRequestFinished("view", core::Metrics::RequestResult::kServed);
+  figures.OnRequestFinished("view", core::Metrics::RequestResult::kRejected);
+  figures.OnRequestFinished("view", core::Metrics::RequestResult::kUncounted);
+  figures.OnRequestFinished("pay", core::Metrics::RequestResult::kFailed);
+  figures.OnAttemptSent("pay");
+  figures.SetClasses({pay});
   figures.Configured(true);
   figures.Configured(false);
   figures.Configured(false);
