--- a/tests/coordination/characterization_test.cpp
+++ b/tests/coordination/characterization_test.cpp
@@ -187,7 +187,7 @@
     ListDuty::Handlers handlers;
     handlers.send = [this, g](int to, const DutyWord& word) { Post(g, to, word); };
     handlers.whole = [this, g] { return lists_[At(g)]; };
-    handlers.told = [this, g](const HostList& list) { Received(g, list); };
+    handlers.told = [this, g](const discovery::EndpointList& list) { Received(g, list); };
     handlers.watch = [this, g](bool on) {
       digest_.Add(g);
       digest_.Add(on);
@@ -231,55 +231,56 @@
   void ChangeHosts() {
     ++truth_.revision;
     changed_ = {NewHost()};
-    if (truth_.hosts.empty() || (truth_.hosts.size() < 50 && random_.Chance(0.8))) {
-      truth_.hosts.push_back(changed_[0]);
+    if (truth_.endpoints.empty() || (truth_.endpoints.size() < 50 && random_.Chance(0.8))) {
+      truth_.endpoints.push_back(changed_[0]);
       return;
     }
-    Host& host = truth_.hosts[random_.Index(truth_.hosts.size())];
-    host.server.state = random_.Chance(0.5) ? EndpointState::kDraining : EndpointState::kUp;
+    discovery::EndpointRecord& host = truth_.endpoints[random_.Index(truth_.endpoints.size())];
+    host.endpoint.state = random_.Chance(0.5) ? EndpointState::kDraining : EndpointState::kUp;
     changed_ = {host};
   }
 
-  Host NewHost() {
+  discovery::EndpointRecord NewHost() {
     const int number = next_host_++;
-    Host host;
-    host.server.id = "h" + std::to_string(number);
-    host.server.zone = "z" + std::to_string(number % 3);
-    host.server.kind = number % 4 == 3 ? "large" : "small";
-    host.server.weight = number % 4 == 3 ? 2 : 1;
-    host.server.started_at = 1000 * number;
-    host.address = *ParseEndpoint("127.0.0.1:" + std::to_string(9000 + number));
+    discovery::EndpointRecord host;
+    host.endpoint.id = "h" + std::to_string(number);
+    host.endpoint.zone = "z" + std::to_string(number % 3);
+    host.endpoint.kind = number % 4 == 3 ? "large" : "small";
+    host.endpoint.weight = number % 4 == 3 ? 2 : 1;
+    host.endpoint.started_at = 1000 * number;
+    host.address = *discovery::ParseAddress("127.0.0.1:" + std::to_string(9000 + number));
     return host;
   }
 
   // The gateway's own discovery answers: with all, with the last change, or with nothing new.
   void Discover(int g) {
-    HostList list = truth_;
-    HostList& known = lists_[At(g)];
+    discovery::EndpointList list = truth_;
+    discovery::EndpointList& known = lists_[At(g)];
     if (known.revision + 1 == truth_.revision) {
-      list.complete = false;
-      list.hosts = changed_;
+      list.is_snapshot = false;
+      list.endpoints = changed_;
     } else if (known.revision == truth_.revision && random_.Chance(0.8)) {
-      list.complete = false;
-      list.hosts.clear();
+      list.is_snapshot = false;
+      list.endpoints.clear();
     }
     Merge(g, list);
     duties_[At(g)]->Told(clocks_.Now(g), list);
   }
 
-  void Merge(int g, const HostList& list) {
-    HostList& known = lists_[At(g)];
-    if (list.complete) known.hosts.clear();
-    for (const Host& host : list.hosts) {
-      std::erase_if(known.hosts, [&](const Host& h) { return h.server.id == host.server.id; });
-      known.hosts.push_back(host);
+  void Merge(int g, const discovery::EndpointList& list) {
+    discovery::EndpointList& known = lists_[At(g)];
+    if (list.is_snapshot) known.endpoints.clear();
+    for (const discovery::EndpointRecord& host : list.endpoints) {
+      std::erase_if(known.endpoints,
+                    [&](const discovery::EndpointRecord& h) { return h.endpoint.id == host.endpoint.id; });
+      known.endpoints.push_back(host);
     }
     known.revision = list.revision;
   }
 
-  void Received(int g, const HostList& list) {
+  void Received(int g, const discovery::EndpointList& list) {
     digest_.Add(g);
-    digest_.Add(ToText(list));
+    digest_.Add(discovery::SerializeEndpointList(list));
     Merge(g, list);
   }
 
@@ -315,9 +316,9 @@
   Clocks clocks_;
   UnreliableNetwork<DutyWord> network_;
   ListDuty::Times times_;
-  HostList truth_;
-  std::vector<Host> changed_;
-  std::vector<HostList> lists_;
+  discovery::EndpointList truth_;
+  std::vector<discovery::EndpointRecord> changed_;
+  std::vector<discovery::EndpointList> lists_;
   std::vector<std::unique_ptr<ListDuty>> duties_;
   Digest digest_;
   int next_host_ = 0;
--- a/tests/coordination/message_fixtures_test.cpp
+++ b/tests/coordination/message_fixtures_test.cpp
@@ -45,16 +45,16 @@
   return recorded;
 }
 
-Host MakeHost(const std::string& id, EndpointState state) {
-  Host host;
-  host.server.id = id;
-  host.server.zone = "north";
-  host.server.kind = "large";
-  host.server.cell = "7";
-  host.server.state = state;
-  host.server.weight = 1.5;
-  host.server.started_at = 1234567.25;
-  host.address = *ParseEndpoint("10.1.0.18:3000");
+discovery::EndpointRecord MakeHost(const std::string& id, EndpointState state) {
+  discovery::EndpointRecord host;
+  host.endpoint.id = id;
+  host.endpoint.zone = "north";
+  host.endpoint.kind = "large";
+  host.endpoint.cell = "7";
+  host.endpoint.state = state;
+  host.endpoint.weight = 1.5;
+  host.endpoint.started_at = 1234567.25;
+  host.address = *discovery::ParseAddress("10.1.0.18:3000");
   return host;
 }
 
--- a/tests/crowd_test.cpp
+++ b/tests/crowd_test.cpp
@@ -81,8 +81,8 @@
       world.Until([&] { return world.host(0).requests.size() + world.host(1).requests.size() == 2; }));
   const auto waits = world.Connect();
   waits->Send(ApiCall("waits", "view", std::to_string(static_cast<int>(kAllowed)) + "m"));
-  const Millis from = Now();
-  ASSERT_TRUE(world.Until([&] { return Now() - from > kWaits; }));
+  const Millis from = core::Now();
+  ASSERT_TRUE(world.Until([&] { return core::Now() - from > kWaits; }));
   ASSERT_TRUE(told.empty()) << "it has no place yet";
   held = false;
   for (auto& host : world.hosts) {
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -30,7 +30,7 @@
     discovery.requests[0].Answer(200, List(42, false, {}).dump());
     ASSERT_TRUE(world.Until([&] { return discovery.requests.size() == 2; }));
   }
-  const Millis silent_at = Now();
+  const Millis silent_at = core::Now();
   const std::size_t calls = discovery.requests.size();
   const auto silent = discovery.requests.back().on;
   const bool trickles = GetParam() == Silence::kTrickles;
@@ -39,14 +39,14 @@
   }
   Millis said_at = 0;
   ASSERT_TRUE(world.Until([&] {
-    if (trickles && Now() - said_at > 20) silent->Raw(" "), said_at = Now();
+    if (trickles && core::Now() - said_at > 20) silent->Raw(" "), said_at = core::Now();
     return discovery.requests.size() > calls;
   }));
   EXPECT_NE(discovery.requests.back().on, silent) << "what is broken is opened anew";
   discovery.requests.back().Answer(
       200, List(43, false, {Member("h0", world.host(0).address(), "draining")}).dump());
   ASSERT_TRUE(world.Until([&] { return discovery.requests.size() > calls + 1; }));
-  EXPECT_LE(Now() - silent_at, kToldWithin);
+  EXPECT_LE(core::Now() - silent_at, discovery::kNotificationTime);
   const auto client = world.Connect();
   const std::size_t before = world.host(0).requests.size();
   for (std::size_t i = 1; i <= 20; ++i) {
@@ -65,7 +65,8 @@
 // when the loop runs again. Both are ready in one turn of the loop, the connection first.
 TEST(DiscoveryDial, ThatCameUpIsKeptThoughItsTimerIsDue) {
   World world;
-  std::this_thread::sleep_for(std::chrono::milliseconds(static_cast<int>(kDial) + 100));  // SIGSTOP's part
+  std::this_thread::sleep_for(
+      std::chrono::milliseconds(static_cast<int>(discovery::kConnectTimeout) + 100));  // SIGSTOP's part
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
   world.discovery.requests[0].Answer(200, List(42, false, {}).dump());
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 2; }));
@@ -79,8 +80,9 @@
   constexpr Millis kStandsStill = 400;  // too short for a pause that has discovery asked anew
   World world;
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
-  const Millis asked_at = Now();
-  ASSERT_TRUE(world.Until([&] { return Now() - asked_at > kFirstAnswer - kStandsStill / 2; }));
+  const Millis asked_at = core::Now();
+  ASSERT_TRUE(
+      world.Until([&] { return core::Now() - asked_at > discovery::kFirstPollTimeout - kStandsStill / 2; }));
   std::vector<nlohmann::json> members;
   for (int i = 0; i < 300; ++i) members.push_back(Member("m" + std::to_string(i), Loopback(9)));
   const std::string body = List(42, true, members).dump();
@@ -108,18 +110,18 @@
     for (int fd = 0; (fd = ::open("/dev/null", O_RDONLY | O_CLOEXEC)) >= 0;) taken.push_back(fd);
   };
   int failed = 0;
-  meadowyard::Discovery* asked = nullptr;
-  meadowyard::Discovery discovery(io, peer.address(), 41,
-                                  {[](const meadowyard::HostList&) {},
-                                   [&] {
-                                     ++failed;
-                                     take_all();
-                                     asked->Watch();
-                                     ::close(taken.back());  // that the stand-in may accept
-                                     taken.pop_back();
-                                   }});
+  meadowyard::discovery::DiscoveryClient* asked = nullptr;
+  meadowyard::discovery::DiscoveryClient discovery(io, peer.address(), 41,
+                                                   {[](const meadowyard::discovery::EndpointList&) {},
+                                                    [&] {
+                                                      ++failed;
+                                                      take_all();
+                                                      asked->Start();
+                                                      ::close(taken.back());  // that the stand-in may accept
+                                                      taken.pop_back();
+                                                    }});
   asked = &discovery;
-  discovery.Watch();
+  discovery.Start();
   ASSERT_TRUE(RunUntil(io, [&] { return peer.requests.size() == 1; }));
   const int next = ::dup(0);
   ::close(next);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -506,10 +506,10 @@
   asio::io_context io;
   meadowyard::ClientLimits limits;
   limits.first_request = limits.whole_request = limits.body_pause = 1;
-  std::vector<meadowyard::ClientRequest> taken;
+  std::vector<meadowyard::core::ClientRequest> taken;
   meadowyard::ClientServer server(io, {Loopback()}, limits,
                                   {[] { return true; }, [] { return true; }, ViewOnly,
-                                   [&](meadowyard::ClientRequest r) { taken.push_back(std::move(r)); },
+                                   [&](meadowyard::core::ClientRequest r) { taken.push_back(std::move(r)); },
                                    [](const std::string&) {}, [](const std::string&) {}});
   Client silent(io, server.address()), half(io, server.address()), body(io, server.address());
   half.Send("GET /api HTTP/1.1\r\nReq-");
@@ -530,7 +530,7 @@
   limits.whole_body = 50;
   meadowyard::ClientServer server(
       io, {Loopback()}, limits,
-      {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::ClientRequest) {},
+      {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::core::ClientRequest) {},
        [](const std::string&) {}, [](const std::string&) {}});
   Client slow(io, server.address());
   slow.Send("POST /api HTTP/1.1\r\nContent-Length: 1000000\r\n\r\n");
@@ -551,7 +551,7 @@
   limits.linger = 60000;
   meadowyard::ClientServer server(
       io, {Loopback()}, limits,
-      {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::ClientRequest) {},
+      {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::core::ClientRequest) {},
        [](const std::string&) {}, [](const std::string&) {}});
   Client half(io, server.address()), body(io, server.address());
   half.Send("GET /api HTTP/1.1\r\nReq-");
@@ -575,7 +575,7 @@
   limits.arrival = 0;
   meadowyard::ClientServer server(
       io, {Loopback()}, limits,
-      {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::ClientRequest) {},
+      {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::core::ClientRequest) {},
        [](const std::string&) {}, [](const std::string&) {}});
   Client usual(io, server.address());
   usual.Send("GET /up HTTP/1.1\r\n\r\n");
@@ -602,7 +602,7 @@
   limits.arrival = limits.first_request = limits.idle = 60000;
   meadowyard::ClientServer server(
       io, {Loopback()}, limits,
-      {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::ClientRequest) {},
+      {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::core::ClientRequest) {},
        [](const std::string&) {}, [](const std::string&) {}});
   Client stayed(io, server.address());
   stayed.Send("GET /up HTTP/1.1\r\n\r\n");
@@ -622,8 +622,8 @@
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
   Peer moved(world.io), host(world.io);
   host.serve = [](const Peer::Taken& taken) { taken.Answer(200, "new"); };
-  meadowyard::Config config = world.config;
-  config.discovery = moved.address();
+  meadowyard::config::Configuration config = world.config;
+  config.discovery_address = moved.address();
   // On its way when the address changes: it names a host that must not be believed in.
   world.discovery.requests[0].Answer(200, List(99, true, {Member("h9", world.host().address())}).dump());
   world.gateway->Reload(config);
@@ -702,17 +702,17 @@
   tcp::socket fill(io);
   fill.connect(at);  // takes the one place in the queue
   meadowyard::HostPool pool(io, {20000, 60000, 10}, {[](const std::string&) { return true; }});
-  meadowyard::HostList list;
-  list.hosts.push_back({MakeHost("h0"), at});
+  meadowyard::discovery::EndpointList list;
+  list.endpoints.push_back({MakeHost("h0"), at});
   pool.Update(list);
   std::optional<AttemptResult> result;
-  const auto call = std::make_shared<const Call>(Call{"GET", "/api", {}, ""});
-  Errand errand;
-  errand.call = call;
-  errand.deadline = meadowyard::Now() + 20000;
-  errand.done = [&](AttemptResult r, Reply) { result = r; };
+  const auto call = std::make_shared<const core::RequestMessage>(core::RequestMessage{"GET", "/api", {}, ""});
+  core::AttemptRequest errand;
+  errand.message = call;
+  errand.deadline = meadowyard::core::Now() + 20000;
+  errand.done = [&](AttemptResult r, core::ResponseMessage) { result = r; };
   pool.Start("h0", std::move(errand));
-  list.hosts[0].server.state = EndpointState::kDraining;
+  list.endpoints[0].endpoint.state = EndpointState::kDraining;
   pool.Update(list);
   std::vector<tcp::socket> accepted;
   ASSERT_TRUE(RunUntil(io, [&] {
@@ -734,16 +734,16 @@
   asio::io_context io;
   Peer one(io), two(io);
   meadowyard::HostPool pool(io, {5000, 60000, 2}, {[](const std::string&) { return true; }});
-  meadowyard::HostList list;
-  list.hosts = {{MakeHost("h1"), one.address()}, {MakeHost("h2"), two.address()}};
+  meadowyard::discovery::EndpointList list;
+  list.endpoints = {{MakeHost("h1"), one.address()}, {MakeHost("h2"), two.address()}};
   pool.Update(list);
   std::vector<AttemptResult> results;
-  const auto call = std::make_shared<const Call>(Call{"GET", "/api", {}, ""});
+  const auto call = std::make_shared<const core::RequestMessage>(core::RequestMessage{"GET", "/api", {}, ""});
   const auto start = [&](const char* host) {
-    Errand errand;
-    errand.call = call;
-    errand.deadline = meadowyard::Now() + 60000;
-    errand.done = [&](AttemptResult r, Reply) { results.push_back(r); };
+    core::AttemptRequest errand;
+    errand.message = call;
+    errand.deadline = meadowyard::core::Now() + 60000;
+    errand.done = [&](AttemptResult r, core::ResponseMessage) { results.push_back(r); };
     return pool.Start(host, std::move(errand));
   };
   start("h1");
--- a/tests/handover_test.cpp
+++ b/tests/handover_test.cpp
@@ -50,7 +50,7 @@
     path = mkdtemp(name);
   }
   ~Folder() {
-    std::remove(meadowyard::HandoverPath(path, "x").c_str());
+    std::remove(meadowyard::config::HandoverSocketPath(path, "x").c_str());
     rmdir(path.c_str());
   }
   std::string path;
@@ -60,7 +60,7 @@
 TEST(Succession, PassesAllOnAndTakesItBack) {
   asio::io_context io;
   Folder folder;
-  const std::string path = meadowyard::HandoverPath(folder.path, "x");
+  const std::string path = meadowyard::config::HandoverSocketPath(folder.path, "x");
   EXPECT_FALSE(meadowyard::AskPredecessor(path));
   tcp::acceptor door(io, Loopback());
   Side first, second;
@@ -120,7 +120,7 @@
   server.cell = "3";
   server.state = EndpointState::kDraining;
   server.started_at = 12.5;
-  state.hosts.hosts.push_back({server, Loopback(80)});
+  state.hosts.endpoints.push_back({server, Loopback(80)});
   state.revision_known = true;
   state.descriptors = 9;
   state.learned.endpoints.push_back({"h0", 1.5, 2, 3, 0.25, 0.1, 7, true, true, -1e15, 99, 0.5});
@@ -130,8 +130,8 @@
   const auto read = meadowyard::ParseState(meadowyard::ToText(state));
   ASSERT_TRUE(read);
   EXPECT_EQ(meadowyard::ToText(*read), meadowyard::ToText(state));
-  EXPECT_EQ(read->hosts.hosts[0].server.cell, "3");
-  EXPECT_EQ(read->hosts.hosts[0].server.state, EndpointState::kDraining);
+  EXPECT_EQ(read->hosts.endpoints[0].endpoint.cell, "3");
+  EXPECT_EQ(read->hosts.endpoints[0].endpoint.state, EndpointState::kDraining);
   EXPECT_TRUE(read->learned.endpoints[0].ejected);
   EXPECT_EQ(read->learned.in_maintenance.size(), 2u);
   EXPECT_FALSE(meadowyard::ParseState("{}"));
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -411,12 +411,12 @@
 }
 
 TEST(Log, WritesOneEventALine) {
-  const LogFields fields = {{"host", "h-1"}, {"why", "two words \"quoted\"\n"}};
-  EXPECT_EQ(LogLine(LogForm::kText, LogLevel::kWarn, "T", "dropped", fields),
+  const log::Fields fields = {{"host", "h-1"}, {"why", "two words \"quoted\"\n"}};
+  EXPECT_EQ(log::FormatLine(log::Format::kText, log::Level::kWarn, "T", "dropped", fields),
             "T warn dropped host=h-1 why=\"two words \\\"quoted\\\"\\n\"");
-  EXPECT_EQ(LogLine(LogForm::kJson, LogLevel::kInfo, "T", "dropped", {{"why", "\xff"}}),
+  EXPECT_EQ(log::FormatLine(log::Format::kJson, log::Level::kInfo, "T", "dropped", {{"why", "\xff"}}),
             "{\"time\":\"T\",\"level\":\"info\",\"event\":\"dropped\",\"why\":\"\xEF\xBF\xBD\"}");
-  EXPECT_THROW(StartLog(LogForm::kText, "loud"), std::invalid_argument);
+  EXPECT_THROW(log::StartLog(log::Format::kText, "loud"), std::invalid_argument);
 }
 
 }  // namespace
--- a/tests/lease_test.cpp
+++ b/tests/lease_test.cpp
@@ -281,19 +281,21 @@
                                letters.push_back({g, to, word});
                              },
                              [this, g] { return lists[static_cast<std::size_t>(g)]; },
-                             [this, g](const HostList& list) { Take(g, list); }, [](bool) {}}));
+                             [this, g](const discovery::EndpointList& list) { Take(g, list); },
+                             [](bool) {}}));
     }
   }
-  void Take(int g, const HostList& list) {
-    HostList& own = lists[static_cast<std::size_t>(g)];
-    if (list.complete) own.hosts.clear();
-    for (const Host& host : list.hosts) {
-      std::erase_if(own.hosts, [&](const Host& h) { return h.server.id == host.server.id; });
-      own.hosts.push_back(host);
+  void Take(int g, const discovery::EndpointList& list) {
+    discovery::EndpointList& own = lists[static_cast<std::size_t>(g)];
+    if (list.is_snapshot) own.endpoints.clear();
+    for (const discovery::EndpointRecord& host : list.endpoints) {
+      std::erase_if(own.endpoints,
+                    [&](const discovery::EndpointRecord& h) { return h.endpoint.id == host.endpoint.id; });
+      own.endpoints.push_back(host);
     }
     own.revision = list.revision;
   }
-  void Told(int g, const HostList& list) {  // by its own discovery
+  void Told(int g, const discovery::EndpointList& list) {  // by its own discovery
     Take(g, list);
     duties[static_cast<std::size_t>(g)]->Told(now, list);
     Deliver();
@@ -322,21 +324,22 @@
   }
 
   Millis now = 1000;
-  std::vector<HostList> lists;
+  std::vector<discovery::EndpointList> lists;
   std::vector<std::unique_ptr<ListDuty>> duties;
   std::vector<std::tuple<int, int, DutyWord>> letters;
   std::function<bool(int, int)> lost = [](int, int) { return false; };
 };
 
-HostList Hosts(std::int64_t revision, int first, int n, EndpointState state = EndpointState::kUp) {
-  HostList list;
+discovery::EndpointList Hosts(std::int64_t revision, int first, int n,
+                              EndpointState state = EndpointState::kUp) {
+  discovery::EndpointList list;
   list.revision = revision;
   for (int i = first; i < first + n; ++i) {
-    Host host;
-    host.server.id = "h" + std::to_string(i);
-    host.server.state = state;
-    host.address = *ParseEndpoint("127.0.0.1:9000");
-    list.hosts.push_back(host);
+    discovery::EndpointRecord host;
+    host.endpoint.id = "h" + std::to_string(i);
+    host.endpoint.state = state;
+    host.address = *discovery::ParseAddress("127.0.0.1:9000");
+    list.endpoints.push_back(host);
   }
   return list;
 }
@@ -351,14 +354,14 @@
   r.lost = [&](int from, int) { return from == holder; };
   r.Told(holder, Hosts(6, 50, 45));  // nobody hears of it
   r.lost = [](int, int) { return false; };
-  HostList drained = Hosts(7, 3, 1, EndpointState::kDraining);
-  drained.complete = false;
+  discovery::EndpointList drained = Hosts(7, 3, 1, EndpointState::kDraining);
+  drained.is_snapshot = false;
   r.Told(holder, drained);
   r.Pass(100);
   for (int g = 0; g < 3; ++g) {
     EXPECT_EQ(r.lists[static_cast<std::size_t>(g)].revision, 7) << g;
-    EXPECT_EQ(ToText(r.lists[static_cast<std::size_t>(g)]).size(),
-              ToText(r.lists[static_cast<std::size_t>(holder)]).size())
+    EXPECT_EQ(discovery::SerializeEndpointList(r.lists[static_cast<std::size_t>(g)]).size(),
+              discovery::SerializeEndpointList(r.lists[static_cast<std::size_t>(holder)]).size())
         << g;
   }
 }
@@ -387,7 +390,7 @@
   r.Pass(3000);
   const int holder = r.Holder(), other = (holder + 1) % 3;
   const Token token = r.duties[static_cast<std::size_t>(holder)]->Status(r.now)["token"];
-  ListPart late{token - 256, 6, 5, false, 0, 1, Hosts(6, 0, 2, EndpointState::kDraining).hosts};
+  ListPart late{token - 256, 6, 5, false, 0, 1, Hosts(6, 0, 2, EndpointState::kDraining).endpoints};
   r.duties[static_cast<std::size_t>(other)]->Hear(r.now, (holder + 2) % 3, DutyWord(late));
   EXPECT_EQ(r.lists[static_cast<std::size_t>(other)].revision, 5);
   ASSERT_FALSE(r.letters.empty());
@@ -397,7 +400,7 @@
 }
 
 TEST(DutyWords, AreWholeOrNone) {
-  const ListPart part{300, 7, 6, false, 0, 1, Hosts(7, 0, 3).hosts};
+  const ListPart part{300, 7, 6, false, 0, 1, Hosts(7, 0, 3).endpoints};
   for (const DutyWord& word :
        {DutyWord(part), DutyWord(ListWanted{9}), DutyWord(Lease::Word{Lease::Word::Kind::kNo, 5, 8, -1}),
         DutyWord(ZonesWord{ZonesWord::Kind::kAgreed, 9, {7, 3, {{"a", 0.5, 4, 100}, {"b", 1, 4, 90}}}}),
--- a/tests/live_settings_test.cpp
+++ b/tests/live_settings_test.cpp
@@ -19,9 +19,9 @@
             {"limits", {{"sockets", 300}}},
             {"settings", TestSettings()}};
     Write(file.dump());
-    settings.emplace(Variable(), meadowyard::LoadConfig(Variable()),
+    settings.emplace(Variable(), meadowyard::config::LoadConfiguration(Variable()),
                      meadowyard::LiveSettings::Handlers{
-                         [this](const meadowyard::Config& config) { taken.push_back(config); },
+                         [this](const meadowyard::config::Configuration& config) { taken.push_back(config); },
                          [this](const std::string& why) { refused.push_back(why); }});
   }
   ~Reloads() { std::remove(path.c_str()); }
@@ -33,7 +33,7 @@
 
   const std::string path = ::testing::TempDir() + "meadowyard-live-" + std::to_string(getpid()) + ".json";
   nlohmann::json file;
-  std::vector<meadowyard::Config> taken;
+  std::vector<meadowyard::config::Configuration> taken;
   std::vector<std::string> refused;
   std::optional<meadowyard::LiveSettings> settings;
 };
@@ -104,8 +104,8 @@
   EXPECT_EQ(reloads.taken[0].settings.classes.back().name, "book");
 }
 
-meadowyard::Config Changed(const World& world, const std::function<void(Settings&)>& change) {
-  meadowyard::Config config = world.config;
+meadowyard::config::Configuration Changed(const World& world, const std::function<void(Settings&)>& change) {
+  meadowyard::config::Configuration config = world.config;
   change(config.settings);
   return config;
 }
--- a/tests/operations/handover_format_test.cpp
+++ b/tests/operations/handover_format_test.cpp
@@ -40,7 +40,7 @@
   return {boost::asio::ip::make_address(address), port};
 }
 
-HostList FixtureHosts() {
+discovery::EndpointList FixtureHosts() {
   Endpoint up;
   up.id = "web-1";
   up.zone = "north";
@@ -58,9 +58,9 @@
   Endpoint gone;
   gone.id = "web-3";
   gone.state = EndpointState::kRemoved;
-  HostList hosts;
+  discovery::EndpointList hosts;
   hosts.revision = 9007199254740993;  // more than a double holds
-  hosts.hosts = {
+  hosts.endpoints = {
       {up, Address("10.1.0.18", 3000)}, {draining, Address("::1", 65535)}, {gone, Address("10.1.0.20", 1)}};
   return hosts;
 }
@@ -218,19 +218,19 @@
   EXPECT_EQ(read->descriptors, expected.descriptors);
   EXPECT_EQ(read->edge, expected.edge);
   EXPECT_EQ(read->hosts.revision, expected.hosts.revision);
-  EXPECT_EQ(read->hosts.complete, expected.hosts.complete);
-  ASSERT_EQ(read->hosts.hosts.size(), expected.hosts.hosts.size());
-  for (std::size_t i = 0; i < expected.hosts.hosts.size(); ++i) {
-    const Host& host = read->hosts.hosts[i];
-    const Host& wanted = expected.hosts.hosts[i];
-    SCOPED_TRACE(wanted.server.id);
-    EXPECT_EQ(host.server.id, wanted.server.id);
-    EXPECT_EQ(host.server.zone, wanted.server.zone);
-    EXPECT_EQ(host.server.kind, wanted.server.kind);
-    EXPECT_EQ(host.server.cell, wanted.server.cell);
-    EXPECT_EQ(host.server.state, wanted.server.state);
-    EXPECT_EQ(host.server.weight, wanted.server.weight);
-    EXPECT_EQ(host.server.started_at, wanted.server.started_at);
+  EXPECT_EQ(read->hosts.is_snapshot, expected.hosts.is_snapshot);
+  ASSERT_EQ(read->hosts.endpoints.size(), expected.hosts.endpoints.size());
+  for (std::size_t i = 0; i < expected.hosts.endpoints.size(); ++i) {
+    const discovery::EndpointRecord& host = read->hosts.endpoints[i];
+    const discovery::EndpointRecord& wanted = expected.hosts.endpoints[i];
+    SCOPED_TRACE(wanted.endpoint.id);
+    EXPECT_EQ(host.endpoint.id, wanted.endpoint.id);
+    EXPECT_EQ(host.endpoint.zone, wanted.endpoint.zone);
+    EXPECT_EQ(host.endpoint.kind, wanted.endpoint.kind);
+    EXPECT_EQ(host.endpoint.cell, wanted.endpoint.cell);
+    EXPECT_EQ(host.endpoint.state, wanted.endpoint.state);
+    EXPECT_EQ(host.endpoint.weight, wanted.endpoint.weight);
+    EXPECT_EQ(host.endpoint.started_at, wanted.endpoint.started_at);
     EXPECT_EQ(host.address, wanted.address);
   }
 }
@@ -426,11 +426,11 @@
 
 // Guards the place where versions find each other.
 TEST(HandoverFormat, NamesTheSocketAfterTheListener) {
-  EXPECT_EQ(HandoverPath("/tmp/x", "127.0.0.1:8080"), "/tmp/x/meadowyard-127.0.0.1-8080");
-  EXPECT_EQ(HandoverPath("/run", "[::1]:80"), "/run/meadowyard-[--1]-80");
+  EXPECT_EQ(config::HandoverSocketPath("/tmp/x", "127.0.0.1:8080"), "/tmp/x/meadowyard-127.0.0.1-8080");
+  EXPECT_EQ(config::HandoverSocketPath("/run", "[::1]:80"), "/run/meadowyard-[--1]-80");
   const std::string folder(100 - std::strlen("/meadowyard-a-1"), 'f');
-  EXPECT_EQ(HandoverPath(folder, "a:1").size(), 100u);
-  EXPECT_EQ(HandoverPath(folder + "f", "a:1"), "");
+  EXPECT_EQ(config::HandoverSocketPath(folder, "a:1").size(), 100u);
+  EXPECT_EQ(config::HandoverSocketPath(folder + "f", "a:1"), "");
 }
 
 // ---- The course of messages ----------------------------------------------------------------------
@@ -451,7 +451,7 @@
                       Descriptor socket) { note("client " + std::string(unread) + (socket ? " +1" : "")); },
         .host =
             [note](const std::string& host, const tcp::endpoint& address, Descriptor socket) {
-              note("host " + host + " at " + ToText(address) + (socket ? " +1" : ""));
+              note("host " + host + " at " + discovery::FormatAddress(address) + (socket ? " +1" : ""));
             },
         .maintained = [note](const std::string& host, bool out) { note((out ? "out " : "back ") + host); },
         .doors =
@@ -483,7 +483,7 @@
     path = ::mkdtemp(name);
   }
   ~TemporaryFolder() {
-    std::remove(HandoverPath(path, "x").c_str());
+    std::remove(config::HandoverSocketPath(path, "x").c_str());
     ::rmdir(path.c_str());
   }
   std::string path;
@@ -517,7 +517,7 @@
   Recorder recorder;
   const std::string piece(kMostMessage, 's');
   recorder.state = piece + piece + "rest";
-  const std::string path = HandoverPath(folder.path, "x");
+  const std::string path = config::HandoverSocketPath(folder.path, "x");
   Succession succession(io, path, Descriptor(), recorder.Handlers());
   succession.Serve();
   struct stat status {};
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -109,28 +109,29 @@
         core_(clock_, MakeSettings(gateways, false), 7, upstream_, {[] {}, [](const Log&) {}}) {}
 
   bool Admits(const Call& call) override {
-    return core_.Admits(call.cls, call.idempotency) == Policy::Admission::kAccepted;
+    return core_.CheckAdmission(call.cls, call.idempotency) == Policy::Admission::kAccepted;
   }
   void Arrive(const Call& call) override {
-    ClientRequest r;
-    r.id = NameOf(call.request), r.class_name = call.cls, r.effect = call.idempotency;
-    r.received = clock_.now, r.allowed = call.patience, r.tunnel = call.holds;
-    r.call.target = r.id;
-    r.answer = [this, id = call.request](Answer answer) {
+    core::ClientRequest r;
+    r.id = NameOf(call.request), r.class_name = call.cls, r.idempotency = call.idempotency;
+    r.received_at = clock_.now, r.client_timeout = call.patience, r.is_tunnel = call.holds;
+    r.message.target = r.id;
+    r.on_answer = [this, id = call.request](core::Answer answer) {
       const auto kind = answer.kind;
-      const bool served = kind == Answer::Kind::kServed;
-      if (answer.closed) closed_[id] = std::move(answer.closed);
-      if (answer.passed) passed_[id] = std::move(answer.passed);
+      const bool served = kind == core::Answer::Kind::kServed;
+      if (answer.on_tunnel_closed) closed_[id] = std::move(answer.on_tunnel_closed);
+      if (answer.on_delivered) passed_[id] = std::move(answer.on_delivered);
       sink_.Ended(gateway_, id,
-                  served                           ? End::kServed
-                  : kind == Answer::Kind::kRefused ? End::kRefused
-                                                   : End::kFailed);
+                  served                                  ? End::kServed
+                  : kind == core::Answer::Kind::kRejected ? End::kRefused
+                                                          : End::kFailed);
     };
-    core_.Take(std::move(r));
+    core_.Submit(std::move(r));
   }
   void Outcome(int id, int attempt, AttemptResult result, bool) override {
     if (const auto closed = Taken(closed_, id)) {
-      return closed(result == AttemptResult::kServed ? TunnelEnd::kEnded : TunnelEnd::kBroken);
+      return closed(result == AttemptResult::kServed ? core::TunnelEnd::kClosed
+                                                     : core::TunnelEnd::kFailedAtStart);
     }
     if (const auto passed = Taken(passed_, id)) passed(result == AttemptResult::kServed);
     const auto found = errands_.find({id, attempt});
@@ -141,7 +142,7 @@
   }
   void Begins(int id, int attempt) override {
     if (!errands_.contains({id, attempt})) return;  // a planted fault's
-    Errand& errand = errands_.at({id, attempt});
+    core::AttemptRequest& errand = errands_.at({id, attempt});
     if (errand.opened) {
       const auto opened = std::move(errand.opened);
       errands_.erase({id, attempt});
@@ -150,7 +151,7 @@
     const auto begun = errand.begun;
     begun({}, std::make_shared<Rest>());
   }
-  void Gone(int id) override { core_.Left(NameOf(id)); }
+  void Gone(int id) override { core_.OnClientDisconnected(NameOf(id)); }
   void Tell(const Event& event) override {
     if (const auto* changed = std::get_if<SettingsChanged>(&event)) return core_.Configure(changed->settings);
     core_.Report(event);
@@ -159,27 +160,27 @@
   void Fire() override { clock_.Fire(); }
   int Left() override {
     const auto census = core_.policy().CollectStats();
-    const std::string figures = core_.figures().ToJson(census);
+    const std::string figures = core_.metrics().ToJson(census);
     return !core_.empty() + census.open_requests + census.queued + census.in_flight + census.tunnels +
            (figures.find("\"current\":0,") == std::string::npos) + static_cast<int>(errands_.size());
   }
 
  private:
-  struct Rest : BodySource {
-    void Ask(Take) override {}
-    void Abandon() override {}
+  struct Rest : core::BodySource {
+    void RequestData(DataCallback) override {}
+    void Cancel() override {}
     std::optional<std::uint64_t> length() const override { return 1; }
-    bool begun() const override { return true; }
+    bool data_requested() const override { return true; }
   };
-  struct Hand : Clock {
+  struct Hand : core::Clock {
     explicit Hand(const Millis& n) : now(n) {}
-    struct Alarm : Wait {
+    struct Alarm : Timer {
       explicit Alarm(std::shared_ptr<bool> w) : waits(std::move(w)) {}
       ~Alarm() override { *waits = false; }
       const std::shared_ptr<bool> waits;
     };
     Millis Now() override { return now; }
-    std::unique_ptr<Wait> After(Millis wait, std::function<void()> then) override {
+    std::unique_ptr<Timer> StartTimer(Millis wait, std::function<void()> then) override {
       auto alive = std::make_shared<bool>(true);
       due.emplace(now + std::max(0.0, wait), std::pair(alive, std::move(then)));
       return std::make_unique<Alarm>(std::move(alive));
@@ -197,10 +198,10 @@
     const Millis& now;
     std::multimap<Millis, std::pair<std::shared_ptr<bool>, std::function<void()>>> due;
   };
-  struct Hosts : Upstream {
+  struct Hosts : core::Upstream {
     explicit Hosts(CoreSeat& s) : seat(s) {}
-    std::uint64_t Start(const std::string& host, Errand errand) override {
-      const int id = IdOf(errand.call->target);
+    std::uint64_t Start(const std::string& host, core::AttemptRequest errand) override {
+      const int id = IdOf(errand.message->target);
       const int attempt = seat.attempts_[id]++;
       const Millis timeout = errand.deadline - seat.clock_.now;
       seat.errands_[{id, attempt}] = std::move(errand);
@@ -212,7 +213,7 @@
       const auto [id, attempt] = numbers[number - 1];
       seat.sink_.Cancelled(id, attempt);
     }
-    void Withdraw(std::uint64_t) override {}  // these hosts have all of a request at once
+    void CancelIfUnsent(std::uint64_t) override {}  // these hosts have all of a request at once
     CoreSeat& seat;
     std::vector<std::pair<int, int>> numbers;
   };
@@ -229,11 +230,11 @@
   Sink& sink_;
   Hand clock_;
   Hosts upstream_;
-  std::map<std::pair<int, int>, Errand> errands_;
+  std::map<std::pair<int, int>, core::AttemptRequest> errands_;
   std::map<int, int> attempts_;
-  std::map<int, std::function<void(TunnelEnd)>> closed_;
+  std::map<int, std::function<void(core::TunnelEnd)>> closed_;
   std::map<int, std::function<void(bool)>> passed_;
-  Gateway core_;
+  core::Gateway core_;
 };
 // A gateway with one fault, planted between it and the referee.
 enum class Fault {
--- a/tests/race_test.cpp
+++ b/tests/race_test.cpp
@@ -31,7 +31,7 @@
   EXPECT_EQ(whole, 1u);
 }
 
-meadowyard::ClientServer::Handlers Handlers(std::function<void(meadowyard::ClientRequest)> taken) {
+meadowyard::ClientServer::Handlers Handlers(std::function<void(meadowyard::core::ClientRequest)> taken) {
   return {[] { return true; },
           [] { return true; },
           [](const std::string&, Idempotency) { return Policy::Admission::kAccepted; },
@@ -46,8 +46,9 @@
   asio::io_context io;
   meadowyard::ClientLimits limits;
   limits.arrives = 60000;
-  meadowyard::ClientServer server(io, {Loopback()}, limits, Handlers([](meadowyard::ClientRequest request) {
-                                    request.answer(meadowyard::Answer{});
+  meadowyard::ClientServer server(io, {Loopback()}, limits,
+                                  Handlers([](meadowyard::core::ClientRequest request) {
+                                    request.on_answer(meadowyard::core::Answer{});
                                   }));
   Client client(io, server.address());
   client.Send(ApiCall("r1"));
@@ -66,8 +67,8 @@
 // And once it has arrived the connection is closed, without a request to wait for.
 TEST(Races, ADrainClosesConnectionsWhoseAnswerHasArrived) {
   asio::io_context io;
-  meadowyard::ClientServer server(io, {Loopback()}, {}, Handlers([](meadowyard::ClientRequest request) {
-                                    request.answer(meadowyard::Answer{});
+  meadowyard::ClientServer server(io, {Loopback()}, {}, Handlers([](meadowyard::core::ClientRequest request) {
+                                    request.on_answer(meadowyard::core::Answer{});
                                   }));
   Client client(io, server.address());
   client.Send(ApiCall("r1"));
@@ -96,9 +97,10 @@
     SCOPED_TRACE(c.name);
     asio::io_context io;
     int taken = 0;
-    meadowyard::ClientServer server(io, {Loopback()}, {}, Handlers([&](meadowyard::ClientRequest request) {
+    meadowyard::ClientServer server(io, {Loopback()}, {},
+                                    Handlers([&](meadowyard::core::ClientRequest request) {
                                       ++taken;
-                                      request.answer(meadowyard::Answer{});
+                                      request.on_answer(meadowyard::core::Answer{});
                                     }));
     Client client(io, server.address());
     client.Send(ApiCall("r1"));
@@ -153,14 +155,14 @@
     client->Send(ApiCall("r1", "pay", std::to_string(static_cast<int>(kAllowed)) + "m"));
     ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
     const auto on = world.host().requests[0].on;
-    const Millis begun = Now();
+    const Millis begun = core::Now();
     on->Raw(c.begins);
     Millis said_at = 0;
     ASSERT_TRUE(world.Until([&] {
-      if (!on->ended && Now() - said_at > 10) on->Raw(c.goes_on), said_at = Now();
+      if (!on->ended && core::Now() - said_at > 10) on->Raw(c.goes_on), said_at = core::Now();
       return !client->answers().empty();
     }));
-    EXPECT_LE(Now() - begun, kAllowed + kLost);
+    EXPECT_LE(core::Now() - begun, kAllowed + kLost);
     EXPECT_GE(client->answers()[0].result_int(), 500u);
     EXPECT_NE(client->answers()[0].result_int(), 503u) << "it may have run";
     EXPECT_TRUE(world.Until([&] { return on->ended; }));
@@ -196,17 +198,18 @@
     Peer host(io);
     meadowyard::HostPool pool(io, {5000, 60000, 10, rested ? 0.0 : 60000.0},
                               {[](const std::string&) { return true; }});
-    meadowyard::HostList list;
-    list.hosts.push_back({Endpoint(), host.address()});
-    list.hosts[0].server.id = "h0";
+    meadowyard::discovery::EndpointList list;
+    list.endpoints.push_back({Endpoint(), host.address()});
+    list.endpoints[0].endpoint.id = "h0";
     pool.Update(list);
     std::string last;
     int ended = 0;
     const auto start = [&] {
-      Errand errand;
-      errand.call = std::make_shared<const Call>(Call{"GET", "/api", {}, ""});
-      errand.deadline = Now() + 20000;
-      errand.done = [&](AttemptResult, Reply reply) { ++ended, last = reply.body; };
+      core::AttemptRequest errand;
+      errand.message =
+          std::make_shared<const core::RequestMessage>(core::RequestMessage{"GET", "/api", {}, ""});
+      errand.deadline = core::Now() + 20000;
+      errand.done = [&](AttemptResult, core::ResponseMessage reply) { ++ended, last = reply.body; };
       pool.Start("h0", std::move(errand));
     };
     start();
@@ -243,9 +246,9 @@
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   world.Tell(50, {Member("h0", world.host().address()), Member("h1", crowded.local_endpoint())}, true);
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() >= 2; }));
-  const Millis reset_at = Now();
+  const Millis reset_at = core::Now();
   world.host().requests[0].on->Reset();
-  ASSERT_TRUE(world.Until([&] { return Now() - reset_at > kWindow; }));
+  ASSERT_TRUE(world.Until([&] { return core::Now() - reset_at > kWindow; }));
   ASSERT_TRUE(client->answers().empty()) << "it is to be tried again, and its dial hangs";
   crowded.accept();  // the filling one: there is room now
   tcp::socket dialled = crowded.accept();
@@ -261,25 +264,26 @@
   asio::io_context io;
   Peer host(io);
   meadowyard::HostPool pool(io, {}, {[](const std::string&) { return true; }});
-  meadowyard::HostList list;
-  list.hosts.push_back({Endpoint(), host.address()});
-  list.hosts[0].server.id = "h0";
+  meadowyard::discovery::EndpointList list;
+  list.endpoints.push_back({Endpoint(), host.address()});
+  list.endpoints[0].endpoint.id = "h0";
   pool.Update(list);
   std::vector<AttemptResult> results;
   std::vector<std::uint64_t> numbers;
   const auto start = [&] {
-    Errand errand;
-    errand.call = std::make_shared<const Call>(Call{"GET", "/api", {}, ""});
-    errand.deadline = Now() + 20000;
-    errand.done = [&](AttemptResult result, Reply) { results.push_back(result); };
+    core::AttemptRequest errand;
+    errand.message =
+        std::make_shared<const core::RequestMessage>(core::RequestMessage{"GET", "/api", {}, ""});
+    errand.deadline = core::Now() + 20000;
+    errand.done = [&](AttemptResult result, core::ResponseMessage) { results.push_back(result); };
     numbers.push_back(pool.Start("h0", std::move(errand)));
   };
   start();
-  pool.Withdraw(numbers[0]);
+  pool.CancelIfUnsent(numbers[0]);
   EXPECT_EQ(results, std::vector{AttemptResult::kNotSent});
   start();
   ASSERT_TRUE(RunUntil(io, [&] { return host.requests.size() == 1; }));
-  pool.Withdraw(numbers[1]);  // it is with its host: left alone
+  pool.CancelIfUnsent(numbers[1]);  // it is with its host: left alone
   EXPECT_EQ(pool.connections(), 1u);
   host.requests[0].Answer(200, "");
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 2; }));
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -39,7 +39,7 @@
                                                     {"NODE_LISTEN", "127.0.0.1:0"},
                                                     {"NODE_DISCOVERY", ToText(discovery.address())}};
     if (admin) variables["NODE_ADMIN"] = "127.0.0.1:0";
-    config = meadowyard::LoadConfig([&](const char* name) {
+    config = meadowyard::config::LoadConfiguration([&](const char* name) {
       const auto found = variables.find(name);
       return found == variables.end() ? nullptr : found->second.c_str();
     });
@@ -73,8 +73,8 @@
   }
   // Until connections to hosts have rested for as long as a second answer may take: then they are used again.
   void LetHostsRest() {
-    const Millis until = Now() + 2 * meadowyard::HostPool::Limits().second_answer;
-    EXPECT_TRUE(Until([&] { return Now() > until; }));
+    const Millis until = core::Now() + 2 * meadowyard::HostPool::Limits().second_answer;
+    EXPECT_TRUE(Until([&] { return core::Now() > until; }));
   }
   std::unique_ptr<Client> Connect() { return std::make_unique<Client>(io, gateway->address()); }
   Peer& host(std::size_t i = 0) { return *hosts[i]; }
@@ -89,7 +89,7 @@
   Peer discovery{io};
   std::vector<std::unique_ptr<Peer>> hosts;
   nlohmann::json news;
-  meadowyard::Config config;
+  meadowyard::config::Configuration config;
   std::optional<meadowyard::app::Service> gateway;
 };
 
