--- a/src/app/cluster_service.hpp
+++ b/src/app/cluster_service.hpp
@@ -7,9 +7,9 @@
 #include <optional>
 #include <string>
 
+#include "coordination/endpoint_list_leader.hpp"
+#include "coordination/zone_state_coordinator.hpp"
 #include "discovery/discovery.hpp"
-#include "duties/list_duty.hpp"
-#include "duties/zone_duty.hpp"
 #include "meadowyard/policy.hpp"
 #include "membership/peer_transport.hpp"
 
--- a/src/duties/list_duty.cpp
+++ b/src/coordination/endpoint_list_leader.cpp
@@ -1,4 +1,4 @@
-#include "duties/list_duty.hpp"
+#include "coordination/endpoint_list_leader.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/duties/list_duty.hpp
+++ b/src/coordination/endpoint_list_leader.hpp
@@ -1,7 +1,7 @@
 // Reading the list of hosts: one gateway has the duty by a lease and passes on what discovery tells it; the
 // others ask discovery themselves only while nobody does. No I/O; times as in Lease.
-#ifndef MEADOWYARD_DUTIES_LIST_DUTY_HPP_
-#define MEADOWYARD_DUTIES_LIST_DUTY_HPP_
+#ifndef MEADOWYARD_COORDINATION_ENDPOINT_LIST_LEADER_HPP_
+#define MEADOWYARD_COORDINATION_ENDPOINT_LIST_LEADER_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -9,8 +9,8 @@
 #include <optional>
 #include <vector>
 
-#include "duties/lease.hpp"
-#include "duties/words.hpp"
+#include "coordination/lease.hpp"
+#include "coordination/message_codec.hpp"
 
 namespace meadowyard {
 
@@ -70,4 +70,4 @@
 
 }  // namespace meadowyard
 
-#endif  // MEADOWYARD_DUTIES_LIST_DUTY_HPP_
+#endif  // MEADOWYARD_COORDINATION_ENDPOINT_LIST_LEADER_HPP_
--- a/src/duties/lease.cpp
+++ b/src/coordination/lease.cpp
@@ -1,4 +1,4 @@
-#include "duties/lease.hpp"
+#include "coordination/lease.hpp"
 
 #include <algorithm>
 
--- a/src/duties/lease.hpp
+++ b/src/coordination/lease.hpp
@@ -6,8 +6,8 @@
 // has granted keeps to that for a term, by its own clock; whoever is granted counts its term from before it
 // offered, and takes it for shorter. One that starts grants nothing for a term: it has forgotten what it
 // granted before.
-#ifndef MEADOWYARD_DUTIES_LEASE_HPP_
-#define MEADOWYARD_DUTIES_LEASE_HPP_
+#ifndef MEADOWYARD_COORDINATION_LEASE_HPP_
+#define MEADOWYARD_COORDINATION_LEASE_HPP_
 
 #include <cstdint>
 #include <set>
@@ -96,4 +96,4 @@
 
 }  // namespace meadowyard
 
-#endif  // MEADOWYARD_DUTIES_LEASE_HPP_
+#endif  // MEADOWYARD_COORDINATION_LEASE_HPP_
--- a/src/duties/words.cpp
+++ b/src/coordination/message_codec.cpp
@@ -1,4 +1,4 @@
-#include "duties/words.hpp"
+#include "coordination/message_codec.hpp"
 
 #include <algorithm>
 #include <array>
--- a/src/duties/words.hpp
+++ b/src/coordination/message_codec.hpp
@@ -1,6 +1,6 @@
 // What gateways tell each other of a duty, and its form on the way: CBOR, a map of short names.
-#ifndef MEADOWYARD_DUTIES_WORDS_HPP_
-#define MEADOWYARD_DUTIES_WORDS_HPP_
+#ifndef MEADOWYARD_COORDINATION_MESSAGE_CODEC_HPP_
+#define MEADOWYARD_COORDINATION_MESSAGE_CODEC_HPP_
 
 #include <cstddef>
 #include <cstdint>
@@ -9,8 +9,8 @@
 #include <variant>
 #include <vector>
 
+#include "coordination/lease.hpp"
 #include "discovery/discovery.hpp"
-#include "duties/lease.hpp"
 
 namespace meadowyard {
 
@@ -58,4 +58,4 @@
 
 }  // namespace meadowyard
 
-#endif  // MEADOWYARD_DUTIES_WORDS_HPP_
+#endif  // MEADOWYARD_COORDINATION_MESSAGE_CODEC_HPP_
--- a/src/duties/zone_judge.cpp
+++ b/src/coordination/zone_health_evaluator.cpp
@@ -1,9 +1,9 @@
-#include "duties/zone_judge.hpp"
+#include "coordination/zone_health_evaluator.hpp"
 
 #include <algorithm>
 #include <cmath>
 
-#include "duties/words.hpp"
+#include "coordination/message_codec.hpp"
 
 namespace meadowyard {
 namespace {
--- a/src/duties/zone_judge.hpp
+++ b/src/coordination/zone_health_evaluator.hpp
@@ -1,7 +1,7 @@
 // What a fleet's gateways see of the zones, put together, and when that is reason to change what was agreed:
 // a fall soon, a rise slowly and in steps, and the more slowly the more often it was in vain. No I/O.
-#ifndef MEADOWYARD_DUTIES_ZONE_JUDGE_HPP_
-#define MEADOWYARD_DUTIES_ZONE_JUDGE_HPP_
+#ifndef MEADOWYARD_COORDINATION_ZONE_HEALTH_EVALUATOR_HPP_
+#define MEADOWYARD_COORDINATION_ZONE_HEALTH_EVALUATOR_HPP_
 
 #include <map>
 #include <optional>
@@ -63,4 +63,4 @@
 
 }  // namespace meadowyard
 
-#endif  // MEADOWYARD_DUTIES_ZONE_JUDGE_HPP_
+#endif  // MEADOWYARD_COORDINATION_ZONE_HEALTH_EVALUATOR_HPP_
--- a/src/duties/zone_duty.cpp
+++ b/src/coordination/zone_state_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "duties/zone_duty.hpp"
+#include "coordination/zone_state_coordinator.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/duties/zone_duty.hpp
+++ b/src/coordination/zone_state_coordinator.hpp
@@ -1,8 +1,8 @@
 // Agreeing on how the zones stand: one gateway has the duty by a lease, proposes a change when what all see
 // is reason for one, and nobody goes by it before more than half of all gateways have taken it down. Who
 // can't reach those keeps to the last that was agreed. No I/O; times as in Lease.
-#ifndef MEADOWYARD_DUTIES_ZONE_DUTY_HPP_
-#define MEADOWYARD_DUTIES_ZONE_DUTY_HPP_
+#ifndef MEADOWYARD_COORDINATION_ZONE_STATE_COORDINATOR_HPP_
+#define MEADOWYARD_COORDINATION_ZONE_STATE_COORDINATOR_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -11,9 +11,9 @@
 #include <set>
 #include <vector>
 
-#include "duties/lease.hpp"
-#include "duties/words.hpp"
-#include "duties/zone_judge.hpp"
+#include "coordination/lease.hpp"
+#include "coordination/message_codec.hpp"
+#include "coordination/zone_health_evaluator.hpp"
 
 namespace meadowyard {
 
@@ -66,4 +66,4 @@
 
 }  // namespace meadowyard
 
-#endif  // MEADOWYARD_DUTIES_ZONE_DUTY_HPP_
+#endif  // MEADOWYARD_COORDINATION_ZONE_STATE_COORDINATOR_HPP_
--- a/src/lab/fleet.hpp
+++ b/src/lab/fleet.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "duties/words.hpp"
+#include "coordination/message_codec.hpp"
 #include "lab/discovery_stand_in.hpp"
 #include "lab/host.hpp"
 #include "lab/peer_links.hpp"
--- a/src/lab/referee.cpp
+++ b/src/lab/referee.cpp
@@ -7,7 +7,7 @@
 #include <set>
 #include <unordered_map>
 
-#include "duties/lease.hpp"
+#include "coordination/lease.hpp"
 
 namespace meadowyard::lab {
 namespace {
--- a/src/membership/heartbeat_codec.cpp
+++ b/src/membership/heartbeat_codec.cpp
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "coordination/cbor_reader.hpp"
-#include "duties/words.hpp"
+#include "coordination/message_codec.hpp"
 #include "meadowyard/error.hpp"
 
 namespace meadowyard::membership {
--- a/src/membership/peer_transport.hpp
+++ b/src/membership/peer_transport.hpp
@@ -11,7 +11,7 @@
 #include <nlohmann/json_fwd.hpp>
 #include <random>
 
-#include "duties/words.hpp"
+#include "coordination/message_codec.hpp"
 #include "membership/heartbeat_codec.hpp"
 #include "membership/membership_view.hpp"
 #include "membership/peers_config.hpp"
--- a/src/membership/peers_config.hpp
+++ b/src/membership/peers_config.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "duties/zone_judge.hpp"
+#include "coordination/zone_health_evaluator.hpp"
 #include "meadowyard/policy.hpp"
 
 namespace meadowyard::membership {
--- a/tests/coordination/characterization_test.cpp
+++ b/tests/coordination/characterization_test.cpp
@@ -22,11 +22,11 @@
 #include <variant>
 #include <vector>
 
+#include "coordination/endpoint_list_leader.hpp"
+#include "coordination/lease.hpp"
 #include "coordination/random_sequence.hpp"
-#include "duties/lease.hpp"
-#include "duties/list_duty.hpp"
-#include "duties/zone_duty.hpp"
-#include "duties/zone_judge.hpp"
+#include "coordination/zone_health_evaluator.hpp"
+#include "coordination/zone_state_coordinator.hpp"
 
 namespace meadowyard::testing {
 namespace {
--- a/tests/lease_test.cpp
+++ b/tests/coordination/lease_test.cpp
@@ -15,8 +15,8 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#include "duties/lease.hpp"
-#include "duties/list_duty.hpp"
+#include "coordination/endpoint_list_leader.hpp"
+#include "coordination/lease.hpp"
 
 namespace meadowyard::testing {
 namespace {
--- a/tests/coordination/message_fixtures_test.cpp
+++ b/tests/coordination/message_fixtures_test.cpp
@@ -12,7 +12,7 @@
 #include <string>
 #include <vector>
 
-#include "duties/words.hpp"
+#include "coordination/message_codec.hpp"
 
 namespace meadowyard::testing {
 namespace {
--- a/tests/zone_test.cpp
+++ b/tests/coordination/zone_test.cpp
@@ -11,7 +11,7 @@
 #include <random>
 #include <set>
 
-#include "duties/zone_duty.hpp"
+#include "coordination/zone_state_coordinator.hpp"
 #include "meadowyard/policy.hpp"
 
 namespace meadowyard::testing {
