--- a/tests/claims_test.cpp
+++ b/tests/decision/claims_test.cpp
@@ -2,7 +2,7 @@
 // one such client beside usual ones.
 #include <gtest/gtest.h>
 
-#include "gateway.hpp"
+#include "decision/policy_driver.hpp"
 
 namespace meadowyard::testing {
 namespace {
@@ -24,17 +24,17 @@
   s.tenants = {{"t", 10}, {"u", 10}};
   s.clients_mark_retries = true;
   s.max_attempts_in_flight = 1;
-  Gateway g(s);
-  g.Servers(1);
-  g.Pass(2000);
-  g.Ask("out");
-  for (int i = 0; i < 25; ++i) g.Do(Call("marked" + std::to_string(i), 2000, "t", true));
-  g.Do(Call("usual", 2000, "u"));
+  PolicyDriver g(s);
+  g.ListEndpoints(1);
+  g.Advance(2000);
+  g.Arrive("out");
+  for (int i = 0; i < 25; ++i) g.Handle(Call("marked" + std::to_string(i), 2000, "t", true));
+  g.Handle(Call("usual", 2000, "u"));
   // Ten of the flood are within its share; the others wait behind the usual one.
   std::size_t ahead = 0;
   for (std::string last = "out"; last != "usual" && ahead <= 25; ++ahead) {
     g.now += 1;
-    g.End(last, "s0", AttemptResult::kServed, 1);
+    g.EndAttempt(last, "s0", AttemptResult::kServed, 1);
     last = g.sent.back().request;
   }
   EXPECT_LE(ahead, 11u);
@@ -45,37 +45,38 @@
   Settings s = MakeSettings();
   s.tenants = {{"t", 10}};
   s.max_attempts_in_flight = 1;
-  Gateway g(s);
-  g.Servers(1);
-  g.Pass(2000);
-  g.Ask("out");
-  for (int i = 0; i < 10; ++i) g.Do(Call("marked" + std::to_string(i), 2000, "t", true));
-  g.Do(Call("beyond", 2000, "t"));  // the marks took the share up
-  g.Do(Call("no share", 2000, "nobody"));
-  EXPECT_EQ(Gateway::Count<Reject>(g.Pass(100)), 2);  // both wait for as little as what is beyond a share
+  PolicyDriver g(s);
+  g.ListEndpoints(1);
+  g.Advance(2000);
+  g.Arrive("out");
+  for (int i = 0; i < 10; ++i) g.Handle(Call("marked" + std::to_string(i), 2000, "t", true));
+  g.Handle(Call("beyond", 2000, "t"));  // the marks took the share up
+  g.Handle(Call("no share", 2000, "nobody"));
+  EXPECT_EQ(PolicyDriver::Count<Reject>(g.Advance(100)),
+            2);  // both wait for as little as what is beyond a share
 }
 
 // Guards short-lived clients where nobody marks further tries: one long deadline, again and again, puts them
 // last, but has none of them turned away.
 TEST(Claims, ALongDeadlineHasNobodyTurnedAway) {
-  Gateway g;  // aim 1000 of a deadline of 2000, no worth after the aim
-  g.Servers(1);
+  PolicyDriver g;  // aim 1000 of a deadline of 2000, no worth after the aim
+  g.ListEndpoints(1);
   for (int i = 0; i < 100; ++i) {
-    g.Do(Call("long" + std::to_string(i), 2000));
+    g.Handle(Call("long" + std::to_string(i), 2000));
     g.now += 20;
-    g.End("long" + std::to_string(i), "s0", AttemptResult::kServed, 20);
-    EXPECT_EQ(Gateway::SentTo(g.Do(Call("usual" + std::to_string(i), 900))), "s0");
+    g.EndAttempt("long" + std::to_string(i), "s0", AttemptResult::kServed, 20);
+    EXPECT_EQ(PolicyDriver::SentTo(g.Handle(Call("usual" + std::to_string(i), 900))), "s0");
     g.now += 20;
-    g.End("usual" + std::to_string(i), "s0", AttemptResult::kServed, 20);
+    g.EndAttempt("usual" + std::to_string(i), "s0", AttemptResult::kServed, 20);
   }
 }
 
 TEST(Claims, ADeadlineBeyondTheClassHoldsNoPlaceForLonger) {
   Settings s = MakeSettings();
   s.classes[0].late_weight = 0.5;  // attempts may last to the deadline
-  Gateway g(s);
-  g.Servers(1);
-  g.Do(Call("greedy", 600000));
+  PolicyDriver g(s);
+  g.ListEndpoints(1);
+  g.Handle(Call("greedy", 600000));
   ASSERT_EQ(g.sent.size(), 1u);
   EXPECT_LE(g.sent[0].timeout, 2000);
 }
@@ -84,31 +85,32 @@
 TEST(Claims, DeadlinesTooShortToBeMetSayNothingOfServers) {
   Settings s = MakeSettings();
   s.clients_mark_retries = true;
-  Gateway g(s);
-  g.Servers(2);
+  PolicyDriver g(s);
+  g.ListEndpoints(2);
   g.Serve(200, 200);
   for (int i = 0; i < 60; ++i) {
     const std::string id = "hasty" + std::to_string(i);
-    const std::string to = Gateway::SentTo(g.Ask(id, "view", 60));
-    g.Pass(60);
+    const std::string to = PolicyDriver::SentTo(g.Arrive(id, "view", 60));
+    g.Advance(60);
     if (to.empty()) continue;
-    const auto actions = g.End(id, to, AttemptResult::kTimedOut, 60);
-    EXPECT_FALSE(Gateway::Logged(actions, Log::Event::kEndpointEjected)) << i;
-    EXPECT_FALSE(Gateway::Logged(actions, Log::Event::kDispatchRateReduced)) << i;
+    const auto actions = g.EndAttempt(id, to, AttemptResult::kTimedOut, 60);
+    EXPECT_FALSE(PolicyDriver::Logged(actions, Log::Event::kEndpointEjected)) << i;
+    EXPECT_FALSE(PolicyDriver::Logged(actions, Log::Event::kDispatchRateReduced)) << i;
   }
   EXPECT_EQ(g.policy.CollectStats().unavailable, 0);
 }
 
 // The other side of it: time-outs of usual attempts still have a server left out.
 TEST(Claims, UsualTimeOutsStillSaySomething) {
-  Gateway g;
-  g.Servers(2);
+  PolicyDriver g;
+  g.ListEndpoints(2);
   g.Serve(50, 200);
   for (int i = 0; i < 12; ++i) {
     const std::string id = "hung" + std::to_string(i);
-    const std::string to = Gateway::SentTo(g.Ask(id));
-    g.Pass(to == "s0" ? 1000 : 200);
-    g.End(id, to, to == "s0" ? AttemptResult::kTimedOut : AttemptResult::kServed, to == "s0" ? 1000 : 200);
+    const std::string to = PolicyDriver::SentTo(g.Arrive(id));
+    g.Advance(to == "s0" ? 1000 : 200);
+    g.EndAttempt(id, to, to == "s0" ? AttemptResult::kTimedOut : AttemptResult::kServed,
+                 to == "s0" ? 1000 : 200);
   }
   EXPECT_EQ(g.policy.CollectStats().unavailable, 1);
 }
@@ -116,23 +118,23 @@
 // Guards classes that must not repeat where they are alone: servers that all failed are tried again.
 TEST(Trials, AreMadeByAnyRequestWhereNoServerIsTrusted) {
   for (const char* cls : {"view", "pay"}) {
-    Gateway g;
-    g.Servers(2);
+    PolicyDriver g;
+    g.ListEndpoints(2);
     std::map<std::string, int> attempts;
     std::size_t ended = 0;
     const auto run = [&](int n, const std::string& name, AttemptResult result) {
       for (int i = 0; i < n; ++i) {
-        g.Ask(name + std::to_string(i), cls);
-        g.Pass(50);
+        g.Arrive(name + std::to_string(i), cls);
+        g.Advance(50);
         for (; ended < g.sent.size(); ++ended) {
           const StartAttempt send = g.sent[ended];
-          g.End(send.request, send.endpoint, result, 20, attempts[send.request]++);
+          g.EndAttempt(send.request, send.endpoint, result, 20, attempts[send.request]++);
         }
       }
     };
     run(40, "fails", AttemptResult::kConnectFailed);
     ASSERT_EQ(g.policy.CollectStats().unavailable, 2) << cls;
-    g.Pass(10000);
+    g.Advance(10000);
     const std::size_t before = g.sent.size();
     run(200, "well", AttemptResult::kServed);
     EXPECT_GT(g.sent.size(), before + 15) << cls;  // as to a cold server: it may be a new process
@@ -142,22 +144,22 @@
 
 // But a class that must not repeat does not try out servers while others are trusted.
 TEST(Trials, AreLeftToWhatMayRepeatWhereAnyServerIsTrusted) {
-  Gateway g;
-  g.Servers(2);
+  PolicyDriver g;
+  g.ListEndpoints(2);
   g.Serve(20);
   for (int i = 0; i < 40 && g.policy.CollectStats().unavailable == 0; ++i) {
     const std::string id = "fails" + std::to_string(i);
-    const std::string to = Gateway::SentTo(g.Ask(id, "pay"));
-    g.Pass(20);
-    g.End(id, to, to == "s0" ? AttemptResult::kError : AttemptResult::kServed, 20);
+    const std::string to = PolicyDriver::SentTo(g.Arrive(id, "pay"));
+    g.Advance(20);
+    g.EndAttempt(id, to, to == "s0" ? AttemptResult::kError : AttemptResult::kServed, 20);
   }
   ASSERT_EQ(g.policy.CollectStats().unavailable, 1);
-  g.Pass(10000);
+  g.Advance(10000);
   for (int i = 0; i < 10; ++i) {
     const std::string id = "pay" + std::to_string(i);
-    EXPECT_EQ(Gateway::SentTo(g.Ask(id, "pay")), "s1");
-    g.Pass(20);
-    g.End(id, "s1", AttemptResult::kServed, 20);
+    EXPECT_EQ(PolicyDriver::SentTo(g.Arrive(id, "pay")), "s1");
+    g.Advance(20);
+    g.EndAttempt(id, "s1", AttemptResult::kServed, 20);
   }
 }
 
@@ -166,39 +168,39 @@
 TEST(Rate, KeepsItsFloorOverATimeWithoutServers) {
   Settings s = MakeSettings();
   s.classes[0].latency_objective = s.classes[0].deadline = 60000;
-  Gateway g(s);
-  g.Servers(4);
-  for (int i = 0; i < 60; ++i) g.Ask("r" + std::to_string(i));
+  PolicyDriver g(s);
+  g.ListEndpoints(4);
+  for (int i = 0; i < 60; ++i) g.Arrive("r" + std::to_string(i));
   const auto out = g.sent;
-  g.List({});
+  g.Snapshot({});
   std::map<std::string, int> attempts;
   for (const StartAttempt& send : out) {  // what was out fails, a little later each
-    g.Pass(200);
-    g.End(send.request, send.endpoint, AttemptResult::kError, 20, attempts[send.request]++);
+    g.Advance(200);
+    g.EndAttempt(send.request, send.endpoint, AttemptResult::kError, 20, attempts[send.request]++);
   }
-  g.Pass(60000);
-  g.Servers(4);
+  g.Advance(60000);
+  g.ListEndpoints(4);
   const std::size_t before = g.sent.size();
   for (int i = 0; i < 60; ++i) {
-    g.Ask("new" + std::to_string(i));
-    g.Pass(100);
+    g.Arrive("new" + std::to_string(i));
+    g.Advance(100);
   }
   EXPECT_GE(g.sent.size() - before, 15u);  // 4 servers, 6 seconds
 }
 
 // Guards a class against its own head: a further try that no server may take holds up nobody behind it.
 TEST(Queues, AFurtherTryWithoutAServerHoldsNobodyUp) {
-  Gateway g;
-  g.List({MakeServer("s0", "0"), MakeServer("s1", "1")});
-  EXPECT_EQ(Gateway::Count<StartAttempt>(g.Ask("warm", "key")), 1);
+  PolicyDriver g;
+  g.Snapshot({MakeEndpoint("s0", "0"), MakeEndpoint("s1", "1")});
+  EXPECT_EQ(PolicyDriver::Count<StartAttempt>(g.Arrive("warm", "key")), 1);
   g.now += 20;
-  g.End("warm", g.sent.back().endpoint, AttemptResult::kServed, 20);
-  g.Ask("stays", "key");  // may have run at its server: it must stay in that one's cell
+  g.EndAttempt("warm", g.sent.back().endpoint, AttemptResult::kServed, 20);
+  g.Arrive("stays", "key");  // may have run at its server: it must stay in that one's cell
   const std::string at = g.sent.back().endpoint;
   g.now += 20;
-  g.End("stays", at, AttemptResult::kError, 20);
+  g.EndAttempt("stays", at, AttemptResult::kError, 20);
   const std::size_t before = g.sent.size();
-  g.Ask("next", "key");
+  g.Arrive("next", "key");
   ASSERT_EQ(g.sent.size(), before + 1);
   EXPECT_EQ(g.sent.back().request, "next");
 }
@@ -208,16 +210,16 @@
   Settings s = MakeSettings();
   s.classes[0].latency_objective = s.classes[0].deadline = 60000;
   const auto sent = [&](AttemptResult result) {
-    Gateway g(s);
-    g.Servers(1);
+    PolicyDriver g(s);
+    g.ListEndpoints(1);
     int n = 0;
     for (; n < 500; ++n) {  // at one moment: nothing is refilled
       const std::string id = "r" + std::to_string(n);
-      const std::string to = Gateway::SentTo(g.Ask(id));
+      const std::string to = PolicyDriver::SentTo(g.Arrive(id));
       if (to.empty()) break;
       AttemptOutcome o{id, 0, to, result, false, 0, {}};
       o.not_replayable = true;  // no further try
-      g.Do(o);
+      g.Handle(o);
     }
     return n;
   };
@@ -229,15 +231,15 @@
 TEST(Events, AStreamOfAnAttemptThatHasEndedChangesNothing) {
   Settings s = MakeSettings();
   s.max_attempts_in_flight = 1;
-  Gateway g(s);
-  g.Servers(2);
-  g.Ask("a");
+  PolicyDriver g(s);
+  g.ListEndpoints(2);
+  g.Arrive("a");
   const std::string at = g.sent.back().endpoint;
-  g.End("a", at, AttemptResult::kRejected, 5);  // it is sent on at once
+  g.EndAttempt("a", at, AttemptResult::kRejected, 5);  // it is sent on at once
   ASSERT_EQ(g.sent.size(), 2u);
-  g.Do(ResponseStarted{"a", 0, 5});
-  const auto actions = g.End("a", g.sent.back().endpoint, AttemptResult::kRejected, 5, 1);
-  EXPECT_EQ(Gateway::Count<StartAttempt>(actions) + Gateway::Count<Reject>(actions), 1);
+  g.Handle(ResponseStarted{"a", 0, 5});
+  const auto actions = g.EndAttempt("a", g.sent.back().endpoint, AttemptResult::kRejected, 5, 1);
+  EXPECT_EQ(PolicyDriver::Count<StartAttempt>(actions) + PolicyDriver::Count<Reject>(actions), 1);
 }
 
 }  // namespace
--- a/tests/rules_test.cpp
+++ b/tests/decision/invariants_test.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <random>
 
-#include "gateway.hpp"
+#include "decision/policy_driver.hpp"
 
 namespace meadowyard::testing {
 namespace {
@@ -76,15 +76,15 @@
   Settings settings = MakeSettings();
   settings.polls_endpoints = ask_mode;
   settings.gateway_count = 1 + static_cast<int>(random() % 4);
-  Gateway g(settings, seed);
+  PolicyDriver g(settings, seed);
   Checker check{settings, {}, {}, {}};
 
   std::map<std::string, Endpoint> fleet;
   for (int i = 0; i < 6; ++i) {
-    Endpoint s = MakeServer("s" + std::to_string(i), std::to_string(i % 2));
+    Endpoint s = MakeEndpoint("s" + std::to_string(i), std::to_string(i % 2));
     fleet[s.id] = s;
   }
-  const auto feed = [&](const Event& e) { check.Apply(g.now, g.Do(e)); };
+  const auto feed = [&](const Event& e) { check.Apply(g.now, g.Handle(e)); };
   const auto tell = [&](const Endpoint& s) {
     fleet[s.id] = check.servers[s.id] = s;
     check.up[s.id] = s.state == EndpointState::kUp;
--- a/tests/neighbours_test.cpp
+++ b/tests/decision/overload_isolation_test.cpp
@@ -10,7 +10,7 @@
 #include <random>
 #include <set>
 
-#include "gateway.hpp"
+#include "decision/policy_driver.hpp"
 
 namespace meadowyard::testing {
 namespace {
@@ -36,7 +36,7 @@
  public:
   explicit Street(const Behaviour& bad) : bad_(bad), policy_(SettingsOf(bad), 3) {
     EndpointUpdate news;
-    for (int h = 0; h < kHosts; ++h) news.endpoints.push_back(MakeServer("h" + std::to_string(h)));
+    for (int h = 0; h < kHosts; ++h) news.endpoints.push_back(MakeEndpoint("h" + std::to_string(h)));
     Handle(news);
     for (const char* tenant : {"nord", "vik"}) Come(tenant, 80, 1, [this, tenant] { Usual(tenant); });
     At(kPhase, [this] {
--- a/tests/cold_fleet_test.cpp
+++ b/tests/decision/slow_start_fleet_test.cpp
@@ -7,7 +7,7 @@
 #include <queue>
 #include <random>
 
-#include "gateway.hpp"
+#include "decision/policy_driver.hpp"
 
 namespace meadowyard::testing {
 namespace {
@@ -96,8 +96,8 @@
     modules_[index] = std::make_unique<Policy>(
         SettingsFor(gateways_, g, steeper_), seed_ * 1000 + static_cast<std::uint64_t>(g) + (told ? 500 : 0));
     std::vector<Endpoint> servers;
-    for (int i = 1; i < kServers; ++i) servers.push_back(MakeServer("s" + std::to_string(i)));
-    if (told) servers.push_back(MakeServer("cold", "0", kEpoch + now_));
+    for (int i = 1; i < kServers; ++i) servers.push_back(MakeEndpoint("s" + std::to_string(i)));
+    if (told) servers.push_back(MakeEndpoint("cold", "0", kEpoch + now_));
     Give(g, EndpointUpdate{EndpointUpdate::Kind::kSnapshot, servers});
   }
   void Started() {
@@ -105,7 +105,7 @@
       if (traffic_ == Traffic::kAllRestarted) {
         Begin(g, true);
       } else {
-        Give(g, EndpointUpdate{EndpointUpdate::Kind::kDelta, {MakeServer("cold", "0", kEpoch + now_)}});
+        Give(g, EndpointUpdate{EndpointUpdate::Kind::kDelta, {MakeEndpoint("cold", "0", kEpoch + now_)}});
       }
     }
   }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -7,9 +7,9 @@
 #include <random>
 #include <set>
 
+#include "decision/policy_driver.hpp"
 #include "decision/subset_assignment.hpp"
 #include "edge/edge_config.hpp"
-#include "gateway.hpp"
 #include "membership/peers_config.hpp"
 
 namespace meadowyard::testing {
@@ -110,20 +110,20 @@
 TEST(Shares, FollowWhatMoreThanHalfAgreeOnAndStayWhenTouchIsLost) {
   Settings s = MakeSettings();
   s.gateway_count = 4;
-  Gateway g(s);
-  g.Servers(8);
+  PolicyDriver g(s);
+  g.ListEndpoints(8);
   EXPECT_EQ(g.policy.CollectStats().active_gateways, 4);
-  g.Do(News(4, 4, g.now + 1000));
+  g.Handle(News(4, 4, g.now + 1000));
   EXPECT_EQ(g.policy.CollectStats().active_gateways, 4);
-  g.Do(News(4, 3, g.now + 1000));
+  g.Handle(News(4, 3, g.now + 1000));
   EXPECT_EQ(g.policy.CollectStats().active_gateways, 3);
-  g.Do(News(4, 1, g.now - 1));  // cut off: alone, as far as it can see
+  g.Handle(News(4, 1, g.now - 1));  // cut off: alone, as far as it can see
   EXPECT_EQ(g.policy.CollectStats().active_gateways, 3);
-  g.Do(News(5, 1, g.now - 1));  // and the list has grown meanwhile
+  g.Handle(News(5, 1, g.now - 1));  // and the list has grown meanwhile
   EXPECT_EQ(g.policy.CollectStats().active_gateways, 5);
-  Gateway never(s);
-  never.Servers(8);
-  never.Do(News(6, 1, 0));
+  PolicyDriver never(s);
+  never.ListEndpoints(8);
+  never.Handle(News(6, 1, 0));
   EXPECT_EQ(never.policy.CollectStats().active_gateways, 6);
 }
 
@@ -132,9 +132,9 @@
   s.gateway_count = 5, s.subset_size = 4;
   std::map<std::string, int> loads;
   for (int g = 0; g < 5; ++g) {
-    Gateway gateway(s, static_cast<std::uint64_t>(g) + 1);
-    gateway.Servers(10);
-    gateway.Do(News(5, 5, gateway.now + 1e6, g));
+    PolicyDriver gateway(s, static_cast<std::uint64_t>(g) + 1);
+    gateway.ListEndpoints(10);
+    gateway.Handle(News(5, 5, gateway.now + 1e6, g));
     EXPECT_EQ(gateway.policy.CollectStats().subset, 4);
     const auto taken = gateway.Serve(200);
     EXPECT_EQ(taken.size(), 4u);
@@ -147,14 +147,14 @@
 TEST(Shares, OneMoreServerComesInForEachThatIsEjected) {
   Settings s = MakeSettings();
   s.subset_size = 3;
-  Gateway g(s);
-  g.Servers(10);
-  g.Do(News(8, 8, g.now + 1e6));
+  PolicyDriver g(s);
+  g.ListEndpoints(10);
+  g.Handle(News(8, 8, g.now + 1e6));
   const std::string bad = g.Serve(30, 10).begin()->first;
   for (int i = 0; i < 60; ++i) {
-    const std::string id = "bad" + std::to_string(i), server = Gateway::SentTo(g.Ask(id));
+    const std::string id = "bad" + std::to_string(i), server = PolicyDriver::SentTo(g.Arrive(id));
     g.now += 10;
-    g.End(id, server, server == bad ? AttemptResult::kError : AttemptResult::kServed, 10);
+    g.EndAttempt(id, server, server == bad ? AttemptResult::kError : AttemptResult::kServed, 10);
   }
   EXPECT_EQ(g.policy.CollectStats().subset, 4);
   EXPECT_EQ(g.policy.CollectGossip().recovered.size(), 0u);
@@ -163,29 +163,29 @@
 // Its clock is ahead, or it was stopped when the list told: it takes a server that has just started for warm.
 TEST(Gossip, OfAStartHoldsAServerForColdThatTheListCalledOld) {
   Settings s = MakeSettings();
-  Gateway knows(s), ahead(s);
-  for (Gateway* g : {&knows, &ahead}) {
+  PolicyDriver knows(s), ahead(s);
+  for (PolicyDriver* g : {&knows, &ahead}) {
     g->now = 100000;
-    g->Servers(4);
+    g->ListEndpoints(4);
     g->Serve(50, 10);
-    Endpoint started = MakeServer("s1", "0", g == &knows ? g->now - 200 : g->now - 60000);
-    g->Do(EndpointUpdate{EndpointUpdate::Kind::kDelta, {started}});
+    Endpoint started = MakeEndpoint("s1", "0", g == &knows ? g->now - 200 : g->now - 60000);
+    g->Handle(EndpointUpdate{EndpointUpdate::Kind::kDelta, {started}});
   }
   ASSERT_EQ(knows.policy.CollectGossip().started.size(), 1u);
   EXPECT_TRUE(ahead.policy.CollectGossip().started.empty());
-  const auto sent_to_s1 = [](Gateway& g) {
+  const auto sent_to_s1 = [](PolicyDriver& g) {
     int n = 0;
-    for (int i = 0; i < 40; ++i) n += Gateway::SentTo(g.Ask("burst" + std::to_string(i))) == "s1";
+    for (int i = 0; i < 40; ++i) n += PolicyDriver::SentTo(g.Arrive("burst" + std::to_string(i))) == "s1";
     return n;
   };
-  Gateway told = std::move(ahead);
+  PolicyDriver told = std::move(ahead);
   MembershipUpdate news = News(2, 2, told.now + 1000);
   news.gossip = knows.policy.CollectGossip();
-  told.Do(news);
+  told.Handle(news);
   EXPECT_LE(sent_to_s1(told), 1);
   EXPECT_TRUE(told.policy.CollectGossip().started.empty()) << "what was heard is not passed on as known";
   news.gossip.started[0].started_at = told.now - s.slow_start_duration - 1;  // long ago: nothing is renewed
-  told.Do(news);
+  told.Handle(news);
 }
 
 // A turn at a cold server that is not used lapses: in a burst not all of many gateways have one in hand.
@@ -197,19 +197,20 @@
       Settings s = MakeSettings();
       s.gateway_count = kGateways, s.gateway_index = n, s.slow_start_fraction = 0.1,
       s.slow_start_duration = 60000;
-      Gateway g(s, 100 + static_cast<std::uint64_t>(n));
+      PolicyDriver g(s, 100 + static_cast<std::uint64_t>(n));
       g.now = 100000;
-      g.Servers(4);
-      if (shared) g.Do(News(kGateways, kGateways, g.now + 1e9, n));
+      g.ListEndpoints(4);
+      if (shared) g.Handle(News(kGateways, kGateways, g.now + 1e9, n));
       g.Serve(200, 40);
-      g.Do(EndpointUpdate{EndpointUpdate::Kind::kDelta, {MakeServer("s1", "0", g.now)}});
+      g.Handle(EndpointUpdate{EndpointUpdate::Kind::kDelta, {MakeEndpoint("s1", "0", g.now)}});
       for (int i = 0; i < 40; ++i) {  // quiet: now and then a request, which the others take
-        g.Pass(100);
-        const std::string id = "quiet" + std::to_string(i), server = Gateway::SentTo(g.Ask(id));
+        g.Advance(100);
+        const std::string id = "quiet" + std::to_string(i), server = PolicyDriver::SentTo(g.Arrive(id));
         g.now += 40;
-        g.End(id, server, AttemptResult::kServed, 40);
+        g.EndAttempt(id, server, AttemptResult::kServed, 40);
       }
-      for (int i = 0; i < 12; ++i) at_cold += Gateway::SentTo(g.Ask("burst" + std::to_string(i))) == "s1";
+      for (int i = 0; i < 12; ++i)
+        at_cold += PolicyDriver::SentTo(g.Arrive("burst" + std::to_string(i))) == "s1";
     }
     return at_cold;
   };
@@ -227,17 +228,18 @@
     for (int n = 0; n < kGateways; ++n) {
       Settings s = MakeSettings();
       s.gateway_count = kGateways;
-      Gateway g(s, 50 + static_cast<std::uint64_t>(n));
-      g.Servers(3);
-      if (shared) g.Do(News(kGateways, kGateways, g.now + 1e9, n));
+      PolicyDriver g(s, 50 + static_cast<std::uint64_t>(n));
+      g.ListEndpoints(3);
+      if (shared) g.Handle(News(kGateways, kGateways, g.now + 1e9, n));
       g.Serve(60, 10);
       const auto serve = [&](int count) {
         int at = 0;
         for (int i = 0; i < count; ++i) {
-          const std::string id = "r" + std::to_string(g.warmed++), server = Gateway::SentTo(g.Ask(id));
+          const std::string id = "r" + std::to_string(g.warmed++),
+                            server = PolicyDriver::SentTo(g.Arrive(id));
           g.now += 10;
           at += server == "s1";
-          g.End(id, server, server == "s1" ? AttemptResult::kError : AttemptResult::kServed, 10);
+          g.EndAttempt(id, server, server == "s1" ? AttemptResult::kError : AttemptResult::kServed, 10);
         }
         return at;
       };
@@ -245,7 +247,7 @@
       if (hears) {
         MembershipUpdate news = News(kGateways, kGateways, g.now + 1e9, n);
         news.gossip.recovered = {"s1"};
-        g.Do(news);
+        g.Handle(news);
       }
       tried += serve(hears ? 40 : 300);
     }
--- a/tests/tunnel_parts_test.cpp
+++ b/tests/tunnel_parts_test.cpp
@@ -5,11 +5,11 @@
 #include <fstream>
 #include <random>
 
+#include "decision/policy_driver.hpp"
 #include "edge/edge_config.hpp"
 #include "fronts/tunnel/admission.hpp"
 #include "fronts/tunnel/handshake.hpp"
 #include "fronts/tunnel/tunnel.hpp"
-#include "gateway.hpp"
 #include "upstream/parent_handshake.hpp"
 
 namespace meadowyard::testing {
@@ -437,75 +437,75 @@
 TEST(Policy, CountsTheTunnelsThatHoldAServer) {
   Settings settings = MakeSettings();
   settings.max_tunnels_per_endpoint = 3;
-  Gateway g(settings);
-  g.Servers(2);
+  PolicyDriver g(settings);
+  g.ListEndpoints(2);
   std::map<std::string, int> open;
   std::vector<std::pair<std::string, std::string>> held;
   for (int i = 0; i < 6; ++i) {
     const std::string id = "t" + std::to_string(i);
-    const std::string server = g.SentTo(g.Do(TunnelRequest(id)));
+    const std::string server = g.SentTo(g.Handle(TunnelRequest(id)));
     ASSERT_NE(server, "") << i;
-    g.Do(ResponseStarted{id, 0, 5});
+    g.Handle(ResponseStarted{id, 0, 5});
     ++open[server];
     held.emplace_back(id, server);
   }
   EXPECT_EQ(open["s0"], 3);  // each took its part
   EXPECT_EQ(open["s1"], 3);
-  EXPECT_EQ(g.SentTo(g.Do(TunnelRequest("full"))), "");
-  EXPECT_EQ(g.SentTo(g.Ask("plain")).empty(), false);  // a request that holds nothing goes on
-  g.Do(ClientDisconnected{"full"});
-  for (const auto& [id, server] : held) g.End(id, server, AttemptResult::kServed, 60000);
-  for (int i = 0; i < 3; ++i) EXPECT_NE(g.SentTo(g.Do(TunnelRequest("again" + std::to_string(i)))), "");
+  EXPECT_EQ(g.SentTo(g.Handle(TunnelRequest("full"))), "");
+  EXPECT_EQ(g.SentTo(g.Arrive("plain")).empty(), false);  // a request that holds nothing goes on
+  g.Handle(ClientDisconnected{"full"});
+  for (const auto& [id, server] : held) g.EndAttempt(id, server, AttemptResult::kServed, 60000);
+  for (int i = 0; i < 3; ++i) EXPECT_NE(g.SentTo(g.Handle(TunnelRequest("again" + std::to_string(i)))), "");
 }
 
 TEST(Policy, CountsTunnelsOfTheProcessBefore) {
   Settings settings = MakeSettings();
   settings.max_tunnels_per_endpoint = 2;
-  Gateway g(settings);
-  g.Servers(1);
-  g.Do(TunnelCountChanged{"s0", 2});
-  EXPECT_EQ(g.SentTo(g.Do(TunnelRequest("a"))), "");
-  g.Do(ClientDisconnected{"a"});
-  g.Do(TunnelCountChanged{"s0", -1});
-  EXPECT_EQ(g.SentTo(g.Do(TunnelRequest("b"))), "s0");
-  g.Do(TunnelCountChanged{"nobody", -5});
+  PolicyDriver g(settings);
+  g.ListEndpoints(1);
+  g.Handle(TunnelCountChanged{"s0", 2});
+  EXPECT_EQ(g.SentTo(g.Handle(TunnelRequest("a"))), "");
+  g.Handle(ClientDisconnected{"a"});
+  g.Handle(TunnelCountChanged{"s0", -1});
+  EXPECT_EQ(g.SentTo(g.Handle(TunnelRequest("b"))), "s0");
+  g.Handle(TunnelCountChanged{"nobody", -5});
 }
 
 // Guards one named server: nothing else is picked, it is tried again there, and whoever waits for it holds
 // nobody up.
 TEST(Policy, SendsWhatIsLimitedToOneServerNowhereElse) {
-  Gateway g;
-  g.Servers(4);
+  PolicyDriver g;
+  g.ListEndpoints(4);
   for (int i = 0; i < 8; ++i) {
     const std::string id = "o" + std::to_string(i);
-    EXPECT_EQ(g.SentTo(g.Do(TunnelRequest(id, "s2"))), "s2");
-    g.Do(ResponseStarted{id, 0, 5});
+    EXPECT_EQ(g.SentTo(g.Handle(TunnelRequest(id, "s2"))), "s2");
+    g.Handle(ResponseStarted{id, 0, 5});
   }
-  EXPECT_EQ(g.SentTo(g.Do(TunnelRequest("r", "s1"))), "s1");
-  EXPECT_EQ(g.SentTo(g.End("r", "s1", AttemptResult::kConnectFailed, 5)), "s1");
-  g.Do(MaintenanceStarted{"s3"});
-  EXPECT_EQ(g.SentTo(g.Do(TunnelRequest("waits", "s3"))), "");
-  EXPECT_NE(g.SentTo(g.Do(TunnelRequest("passes"))), "");
-  EXPECT_EQ(g.SentTo(g.Do(TunnelRequest("unknown", "s9"))), "");
-  const auto actions = g.Pass(2000);
+  EXPECT_EQ(g.SentTo(g.Handle(TunnelRequest("r", "s1"))), "s1");
+  EXPECT_EQ(g.SentTo(g.EndAttempt("r", "s1", AttemptResult::kConnectFailed, 5)), "s1");
+  g.Handle(MaintenanceStarted{"s3"});
+  EXPECT_EQ(g.SentTo(g.Handle(TunnelRequest("waits", "s3"))), "");
+  EXPECT_NE(g.SentTo(g.Handle(TunnelRequest("passes"))), "");
+  EXPECT_EQ(g.SentTo(g.Handle(TunnelRequest("unknown", "s9"))), "");
+  const auto actions = g.Advance(2000);
   EXPECT_EQ(g.Count<Reject>(actions), 2);
 }
 
 // Guards that a tunnel's life says nothing of its server, but breaking at its beginning does.
 TEST(Policy, HoldsAgainstAServerThatItsTunnelsBreakAtOnce) {
   for (const bool breaks : {false, true}) {
-    Gateway g;
-    g.Servers(3);
+    PolicyDriver g;
+    g.ListEndpoints(3);
     bool avoided = false;
     for (int i = 0; i < 60 && !avoided; ++i) {
       const std::string id = "t" + std::to_string(i);
-      const std::string server = g.SentTo(g.Do(TunnelRequest(id)));
+      const std::string server = g.SentTo(g.Handle(TunnelRequest(id)));
       if (server.empty()) continue;
       g.now += 5;
-      g.Do(ResponseStarted{id, 0, 5});
+      g.Handle(ResponseStarted{id, 0, 5});
       g.now += 50;
-      g.End(id, server, breaks && server == "s0" ? AttemptResult::kReset : AttemptResult::kServed,
-            breaks ? 50 : 3600000);
+      g.EndAttempt(id, server, breaks && server == "s0" ? AttemptResult::kReset : AttemptResult::kServed,
+                   breaks ? 50 : 3600000);
       avoided = g.policy.CollectStats().unavailable > 0;
     }
     EXPECT_EQ(avoided, breaks);
