--- a/tests/membership/fixture_test.cpp
+++ b/tests/membership/fixture_test.cpp
@@ -238,9 +238,8 @@
   out.precision(17);
   out << "path " << config.path << "\nself " << config.self << "\nlisten " << config.listen << "\n";
   for (const PeerAddress& peer : config.all) out << "peer " << peer.name << " " << peer.address << "\n";
-  out << "subset " << config.subset << "\nbeat " << config.beat << "\nsilent " << config.silent
-      << "\ngone " << config.gone << "\nshare_list " << config.share_list << "\nlease " << config.lease
-      << "\n";
+  out << "subset " << config.subset << "\nbeat " << config.beat << "\nsilent " << config.silent << "\ngone "
+      << config.gone << "\nshare_list " << config.share_list << "\nlease " << config.lease << "\n";
   const ZoneRoutingSettings& locality = config.locality;
   out << "locality " << locality.enabled << " " << locality.overprovisioning << " "
       << locality.panic_threshold << " " << locality.max_overflow << "\n";
