--- a/tests/lint.sh
+++ b/tests/lint.sh
@@ -12,7 +12,7 @@
 cd "$(dirname "$0")/.."
 
 # Entries that the list of pending packages may have. Lower it with every entry that goes; never raise it.
-most_pending=20
+most_pending=18
 build="build-lint"
 jobs=$(nproc)
 
