--- a/src/app/cluster_service.cpp
+++ b/src/app/cluster_service.cpp
@@ -24,22 +24,24 @@
   link_.emplace(io_, *peers_,
                 membership::PeerLink::Handlers{
                     handlers_.gossip, handlers_.news,
-                    [this](int from, Duty duty, const DutyWord& word) { Heard(from, duty, word); },
+                    [this](int from, coordination::LeaseRole duty,
+                           const coordination::CoordinationMessage& word) { Heard(from, duty, word); },
                     [this](double chance) { Beat(chance); },
                     [this] { return zones_ ? std::optional(handlers_.sights()) : std::nullopt; },
                     [this](int from, const ZoneLoadReport& sights) {
-                      if (zones_) zones_->See(core::Now(), from, sights);
+                      if (zones_) zones_->OnLoadReport(core::Now(), from, sights);
                     }});
 }
 
-void ClusterService::Heard(int from, Duty duty, const DutyWord& word) {
-  if (duty == Duty::kList && duty_) duty_->Hear(core::Now(), from, word);
-  if (duty == Duty::kZones && zones_) zones_->Hear(core::Now(), from, word);
+void ClusterService::Heard(int from, coordination::LeaseRole duty,
+                           const coordination::CoordinationMessage& word) {
+  if (duty == coordination::LeaseRole::kEndpointList && duty_) duty_->OnMessage(core::Now(), from, word);
+  if (duty == coordination::LeaseRole::kZoneState && zones_) zones_->OnMessage(core::Now(), from, word);
 }
 
 void ClusterService::Beat(double chance) {
-  if (duty_) duty_->Beat(core::Now(), chance);
-  if (zones_) zones_->Beat(core::Now(), chance, handlers_.sights());
+  if (duty_) duty_->Tick(core::Now(), chance);
+  if (zones_) zones_->Tick(core::Now(), chance, handlers_.sights());
 }
 
 void ClusterService::Close() {
@@ -51,56 +53,58 @@
 }
 
 void ClusterService::ShareList() {
-  ListDuty::Times times;
+  coordination::EndpointListLeader::Times times;
   times.lease.term = peers_->lease;
-  times.lease.patience = 2 * peers_->beat;
+  times.lease.retry_interval = 2 * peers_->beat;
   times.stale = 2 * peers_->silent;
   duty_.emplace(static_cast<int>(peers_->self), static_cast<int>(peers_->all.size()), times, core::Now(),
-                static_cast<Token>(core::Now()), discovery_.revision(),
-                ListDuty::Handlers{[this](int to, const DutyWord& word) {
-                                     if (link_) link_->Send(to, Duty::kList, word);
-                                   },
-                                   handlers_.whole,
-                                   [this](discovery::EndpointList list) {
-                                     discovery_.SetRevision(list.revision);
-                                     handlers_.told(std::move(list));
-                                   },
-                                   [this](bool on) { on ? discovery_.Start() : discovery_.Stop(); }});
+                static_cast<coordination::FencingToken>(core::Now()), discovery_.revision(),
+                coordination::EndpointListLeader::Handlers{
+                    [this](int to, const coordination::CoordinationMessage& word) {
+                      if (link_) link_->Send(to, coordination::LeaseRole::kEndpointList, word);
+                    },
+                    handlers_.whole,
+                    [this](discovery::EndpointList list) {
+                      discovery_.SetRevision(list.revision);
+                      handlers_.told(std::move(list));
+                    },
+                    [this](bool on) { on ? discovery_.Start() : discovery_.Stop(); }});
 }
 
 void ClusterService::ShareZones() {
-  ZoneDuty::Times times;
+  coordination::ZoneStateCoordinator::Times times;
   times.lease.term = peers_->lease;
-  times.lease.patience = 2 * peers_->beat;
-  times.judge = peers_->zones;
+  times.lease.retry_interval = 2 * peers_->beat;
+  times.evaluator = peers_->zones;
   times.again = 2 * peers_->beat;
   zones_.emplace(static_cast<int>(peers_->self), static_cast<int>(peers_->all.size()), times, core::Now(),
-                 static_cast<Token>(core::Now()),
-                 ZoneDuty::Handlers{[this](int to, const DutyWord& word) {
-                                      if (link_) link_->Send(to, Duty::kZones, word);
-                                    },
-                                    handlers_.agreed});
+                 static_cast<coordination::FencingToken>(core::Now()),
+                 coordination::ZoneStateCoordinator::Handlers{
+                     [this](int to, const coordination::CoordinationMessage& word) {
+                       if (link_) link_->Send(to, coordination::LeaseRole::kZoneState, word);
+                     },
+                     handlers_.agreed});
 }
 
 void ClusterService::Watch() {
-  if (!duty_ || duty_->watches()) discovery_.Start();
+  if (!duty_ || duty_->watches_discovery()) discovery_.Start();
 }
 
 void ClusterService::Told(const discovery::EndpointList& list) {
-  if (duty_) duty_->Told(core::Now(), list);
+  if (duty_) duty_->OnDiscoveryUpdate(core::Now(), list);
 }
 
 void ClusterService::Failed() {
-  if (duty_) duty_->Failed(core::Now());
+  if (duty_) duty_->OnDiscoveryFailed(core::Now());
 }
 
 void ClusterService::Moving(const boost::asio::ip::tcp::endpoint& address) {
-  if (duty_ && address != discovery_.address()) duty_->Moved(core::Now());
+  if (duty_ && address != discovery_.address()) duty_->OnDiscoveryReplaced(core::Now());
 }
 
 void ClusterService::Stopping() {
-  if (duty_) duty_->Stopping(core::Now());
-  if (zones_) zones_->Stopping();
+  if (duty_) duty_->Stop(core::Now());
+  if (zones_) zones_->Stop();
 }
 
 std::optional<std::string> ClusterService::Status(const Policy::Stats& census) const {
--- a/src/app/cluster_service.hpp
+++ b/src/app/cluster_service.hpp
@@ -47,15 +47,15 @@
  private:
   void ShareList();
   void ShareZones();
-  void Heard(int from, Duty duty, const DutyWord& word);
+  void Heard(int from, coordination::LeaseRole duty, const coordination::CoordinationMessage& word);
   void Beat(double chance);
 
   boost::asio::io_context& io_;
   discovery::DiscoveryClient& discovery_;
   const Handlers handlers_;
   std::optional<membership::PeersConfig> peers_;
-  std::optional<ListDuty> duty_;
-  std::optional<ZoneDuty> zones_;
+  std::optional<coordination::EndpointListLeader> duty_;
+  std::optional<coordination::ZoneStateCoordinator> zones_;
   std::optional<membership::PeerLink> link_;
 };
 
--- a/src/coordination/endpoint_list_leader.hpp
+++ b/src/coordination/endpoint_list_leader.hpp
@@ -12,12 +12,12 @@
 #include "coordination/lease.hpp"
 #include "coordination/message_codec.hpp"
 
-namespace meadowyard {
+namespace meadowyard::coordination {
 
-class ListDuty {
+class EndpointListLeader {
  public:
   struct Handlers {
-    std::function<void(int to, const DutyWord&)> send;
+    std::function<void(int to, const CoordinationMessage&)> send;
     std::function<discovery::EndpointList()> whole;     // as it stands here
     std::function<void(discovery::EndpointList)> told;  // by whoever has the duty
     std::function<void(bool on)> watch;                 // discovery, by oneself
@@ -28,29 +28,29 @@
     Millis refuses =
         5000;  // one whose discovery failed, or is another, leaves the duty to others for so long
   };
-  ListDuty(int self, int gateways, Times times, Millis now, Token least, std::optional<std::int64_t> revision,
-           Handlers handlers);
+  EndpointListLeader(int self, int gateways, Times times, Millis now, FencingToken least,
+                     std::optional<std::int64_t> revision, Handlers handlers);
 
   // To be called again and again; `chance` as in Lease.
-  void Beat(Millis now, double chance);
-  void Hear(Millis now, int from, const DutyWord& word);
+  void Tick(Millis now, double chance);
+  void OnMessage(Millis now, int from, const CoordinationMessage& word);
   // By this gateway's own discovery; `list` was taken in by then.
-  void Told(Millis now, const discovery::EndpointList& list);
-  void Failed(Millis now);
-  void Stopping(Millis now);
+  void OnDiscoveryUpdate(Millis now, const discovery::EndpointList& list);
+  void OnDiscoveryFailed(Millis now);
+  void Stop(Millis now);
   // Discovery is another from now on: its revisions say nothing of those before.
-  void Moved(Millis now);
+  void OnDiscoveryReplaced(Millis now);
   // Whether discovery is to be asked by oneself now.
-  bool watches() const { return watches_; }
+  bool watches_discovery() const { return watches_; }
   nlohmann::json Status(Millis now) const;
 
  private:
-  void Hear(Millis now, int from, const Lease::Word& word);
-  void Hear(Millis now, int from, const ListPart& part);
-  void Hear(Millis now, int from, const ListWanted& wanted);
-  void Hear(Millis, int, const ZonesWord&) {}  // another duty's
-  void Hear(Millis, int, const ZonesVote&) {}
-  void Post(const std::vector<Lease::Letter>& letters);
+  void OnMessage(Millis now, int from, const Lease::Message& word);
+  void OnMessage(Millis now, int from, const EndpointListPart& part);
+  void OnMessage(Millis now, int from, const EndpointListRequest& wanted);
+  void OnMessage(Millis, int, const ZoneStateAnnouncement&) {}  // another duty's
+  void OnMessage(Millis, int, const ZoneStateVote&) {}
+  void Post(const std::vector<Lease::Envelope>& letters);
   void SendList(int to, const discovery::EndpointList& list, std::int64_t after);
   void Decide(Millis now);
 
@@ -59,15 +59,15 @@
   const Handlers handlers_;
   Lease lease_;
   std::optional<std::int64_t> revision_;  // of what is known here
-  Token acted_ = 0;                       // the highest that an action came with
+  FencingToken acted_ = 0;                // the highest that an action came with
   int actor_ = -1;
   Millis fresh_at_;
   Millis listens_from_;  // one that starts has forgotten who acted last: it waits until that is over
   bool watches_ = true;
-  std::vector<ListPart> parts_;  // of one list, until it is whole
+  std::vector<EndpointListPart> parts_;  // of one list, until it is whole
   std::uint64_t passed_on_ = 0, taken_ = 0, turned_down_ = 0;
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::coordination
 
 #endif  // MEADOWYARD_COORDINATION_ENDPOINT_LIST_LEADER_HPP_
--- a/src/coordination/lease.hpp
+++ b/src/coordination/lease.hpp
@@ -1,6 +1,6 @@
 // Who of several gateways holds a duty, and until when: leases by majority without a disk, after PaxosLease
 // (Trencseni, Gazso, Reinhardt 2012). A state machine without I/O; times are milliseconds on the gateway's
-// own clock, and only spans count: clocks may be any time apart, but run alike to within `drift`.
+// own clock, and only spans count: clocks may be any time apart, but run alike to within `max_clock_drift`.
 //
 // Every gateway is both one that asks for the lease and one of those that are asked. Whoever was asked and
 // has granted keeps to that for a term, by its own clock; whoever is granted counts its term from before it
@@ -16,84 +16,84 @@
 
 #include "meadowyard/policy.hpp"
 
-namespace meadowyard {
+namespace meadowyard::coordination {
 
 // Only grows: of two that held the duty the later one has the higher. Every action carries it, and whoever is
 // acted upon turns down any below the highest that it has seen.
-using Token = std::uint64_t;
+using FencingToken = std::uint64_t;
 
 class Lease {
  public:
   struct Times {
     Millis term = 3000;
-    double drift = 0.01;    // by which clocks run apart at the most
-    Millis patience = 500;  // from an attempt to the next, at the least
+    double max_clock_drift = 0.01;  // by which clocks run apart at the most
+    Millis retry_interval = 500;    // from an attempt to the next, at the least
   };
-  struct Word {
-    enum class Kind {
-      kAsk,      // may `token` come to hold it?
-      kPromise,  // it may, unless `holder` (-1: nobody) has it, as far as this one knows
-      kOffer,    // it is to hold it
-      kTaken,    // granted
-      kNo,       // `seen` has been asked for already
+  struct Message {
+    enum class Type {
+      kPrepareRequest,   // may `token` come to hold it?
+      kPrepareResponse,  // it may, unless `owner` (-1: nobody) has it, as far as this one knows
+      kProposeRequest,   // it is to hold it
+      kProposeResponse,  // granted
+      kReject,           // `highest_promised` has been asked for already
     };
-    Kind kind = Kind::kAsk;
-    Token token = 0, seen = 0;
-    int holder = -1;
+    Type type = Type::kPrepareRequest;
+    FencingToken token = 0, highest_promised = 0;
+    int owner = -1;
 
-    bool operator==(const Word&) const = default;
+    bool operator==(const Message&) const = default;
   };
-  struct Letter {
+  struct Envelope {
     int to = 0;
-    Word word;
+    Message message;
   };
 
   // `least`: tokens are above it; the time of day will do, for one's own of earlier lives lie below it.
-  Lease(int self, int gateways, Times times, Millis now, Token least);
+  Lease(int self, int gateways, Times times, Millis now, FencingToken least);
 
-  void Hear(Millis now, int from, const Word& word, std::vector<Letter>& out);
+  void OnMessage(Millis now, int from, const Message& message, std::vector<Envelope>& out);
   // To be called now and then: asks for the lease when nobody is known to have it, and renews it. `chance`
   // (0 to 1) spreads attempts that collide.
-  void Pass(Millis now, double chance, std::vector<Letter>& out);
+  void Tick(Millis now, double chance, std::vector<Envelope>& out);
   // Stops holding it at once, and does not ask again before `until`.
-  void GiveUp(Millis until);
+  void Release(Millis until);
 
-  bool Holds(Millis now) const { return now < held_until_; }
-  Token token() const { return held_token_; }  // while it holds
+  bool IsHeld(Millis now) const { return now < held_until_; }
+  FencingToken token() const { return held_token_; }  // while it holds
   Millis held_until() const { return held_until_; }
   // Who holds it, as far as this one has granted; -1: nobody.
-  int Holder(Millis now) const { return Holds(now) ? self_ : now < granted_until_ ? granted_to_ : -1; }
-  void Seen(Token token);  // of an action, or of whoever turned one down
+  int Owner(Millis now) const { return IsHeld(now) ? self_ : now < granted_until_ ? granted_to_ : -1; }
+  void ObserveToken(FencingToken token);  // of an action, or of whoever turned one down
 
   // All that it remembers: two that are alike here go on alike.
   auto state() const {
-    return std::tie(deaf_until_, promised_, granted_token_, granted_to_, granted_until_, attempt_, highest_,
-                    asked_, open_, taken_, offered_until_, next_, held_until_, held_token_);
+    return std::tie(recovery_until_, promised_, granted_token_, granted_to_, granted_until_, attempt_,
+                    highest_, asked_, open_, taken_, offered_until_, next_, held_until_, held_token_);
   }
 
  private:
-  void Begin(Millis now, double chance, std::vector<Letter>& out);
-  void Send(int to, const Word& word, Millis now, std::vector<Letter>& out);
-  void ToAll(const Word& word, Millis now, std::vector<Letter>& out);
+  void Begin(Millis now, double chance, std::vector<Envelope>& out);
+  void Send(int to, const Message& message, Millis now, std::vector<Envelope>& out);
+  void ToAll(const Message& message, Millis now, std::vector<Envelope>& out);
   bool Enough(const std::set<int>& from) const { return 2 * static_cast<int>(from.size()) > gateways_; }
 
   int self_, gateways_;
   Times times_;
   // As one that is asked.
-  Millis deaf_until_;
-  Token promised_ = 0, granted_token_ = 0;
+  Millis recovery_until_;
+  FencingToken promised_ = 0, granted_token_ = 0;
   int granted_to_ = -1;
   Millis granted_until_ = -1e15;
   // As one that asks.
-  enum class Attempt { kNone, kAsking, kOffering } attempt_ = Attempt::kNone;
-  Token highest_, asked_ = 0;
+  enum class Attempt { kNone, kAsking, kProposeRequesting } attempt_ = Attempt::kNone;
+  FencingToken highest_, asked_ = 0;
   std::set<int> open_, taken_;
   Millis offered_until_ = 0;
   Millis next_ = -1e15;
   Millis held_until_ = -1e15;
-  Token held_token_ = 0;
+  FencingToken held_token_ = 0;
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::coordination
 
 #endif  // MEADOWYARD_COORDINATION_LEASE_HPP_
--- a/src/coordination/message_codec.cpp
+++ b/src/coordination/message_codec.cpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <stdexcept>
 
-namespace meadowyard {
+namespace meadowyard::coordination {
 namespace {
 
 using nlohmann::json;
@@ -13,7 +13,7 @@
 constexpr int kVersion = 1;
 constexpr std::size_t kMostName = 128;
 constexpr std::uint32_t kMostParts = 1000;
-const std::array<std::string, 2> kDuties = {"list", "zones"};
+const std::array<std::string, 2> kRoles = {"list", "zones"};
 
 std::uint64_t Whole(const json& value, std::uint64_t most = ~0ull) {
   if (!value.is_number_unsigned() || value.get<std::uint64_t>() > most) throw std::invalid_argument("number");
@@ -25,20 +25,20 @@
   return value.get<std::int64_t>();
 }
 
-json Body(const Lease::Word& w) {
-  return {{"lease", static_cast<std::uint64_t>(w.kind)},
+json Body(const Lease::Message& w) {
+  return {{"lease", static_cast<std::uint64_t>(w.type)},
           {"token", w.token},
-          {"seen", w.seen},
-          {"holder", w.holder}};
+          {"seen", w.highest_promised},
+          {"holder", w.owner}};
 }
-json Body(const ListPart& p) {
+json Body(const EndpointListPart& p) {
   discovery::EndpointList list{p.revision, p.complete, p.hosts};
   return {{"list", p.revision}, {"token", p.token},
           {"after", p.after},   {"part", p.part},
           {"parts", p.parts},   {"hosts", p.parts > 0 ? discovery::SerializeEndpointList(list) : ""}};
 }
-json Body(const ListWanted& w) { return {{"wanted", true}, {"token", w.token}}; }
-json Body(const ZonesWord& w) {
+json Body(const EndpointListRequest& w) { return {{"wanted", true}, {"token", w.token}}; }
+json Body(const ZoneStateAnnouncement& w) {
   json zones = json::array();
   for (const ZoneAgreement::Zone& z : w.state.zones)
     zones.push_back({z.name, z.health, z.capacity, z.demand});
@@ -48,7 +48,7 @@
           {"version", w.state.version},
           {"zones", zones}};
 }
-json Body(const ZonesVote& v) { return {{"vote", v.version}, {"token", v.token}}; }
+json Body(const ZoneStateVote& v) { return {{"vote", v.version}, {"token", v.token}}; }
 
 double Amount(const json& value, double most) {
   const double read = value.get<double>();
@@ -56,12 +56,12 @@
   return read;
 }
 
-ZonesWord ReadZones(const json& all) {
-  ZonesWord w{static_cast<ZonesWord::Kind>(Whole(all.at("stand"), 2)),
-              Whole(all.at("token")),
-              {Whole(all.at("term")), Whole(all.at("version")), {}}};
+ZoneStateAnnouncement ReadZones(const json& all) {
+  ZoneStateAnnouncement w{static_cast<ZoneStateAnnouncement::Kind>(Whole(all.at("stand"), 2)),
+                          Whole(all.at("token")),
+                          {Whole(all.at("term")), Whole(all.at("version")), {}}};
   const json& zones = all.at("zones");
-  if (!zones.is_array() || zones.size() > kMostZones) throw std::invalid_argument("zones");
+  if (!zones.is_array() || zones.size() > kMaxZones) throw std::invalid_argument("zones");
   for (const json& z : zones) {
     const auto& name = z.at(0).get_ref<const std::string&>();
     if (name.size() > kMostName) throw std::invalid_argument("zone");
@@ -70,18 +70,18 @@
   return w;
 }
 
-DutyWord Read(const json& all) {
-  const Token token = Whole(all.at("token"));
+CoordinationMessage Read(const json& all) {
+  const FencingToken token = Whole(all.at("token"));
   if (all.contains("lease")) {
     const std::int64_t holder = Revision(all.at("holder"));
     if (holder < -1 || holder > 255) throw std::invalid_argument("holder");
-    return Lease::Word{static_cast<Lease::Word::Kind>(Whole(all.at("lease"), 4)), token,
-                       Whole(all.at("seen")), static_cast<int>(holder)};
+    return Lease::Message{static_cast<Lease::Message::Type>(Whole(all.at("lease"), 4)), token,
+                          Whole(all.at("seen")), static_cast<int>(holder)};
   }
-  if (all.contains("wanted")) return ListWanted{token};
+  if (all.contains("wanted")) return EndpointListRequest{token};
   if (all.contains("stand")) return ReadZones(all);
-  if (all.contains("vote")) return ZonesVote{token, Whole(all.at("vote"))};
-  ListPart part;
+  if (all.contains("vote")) return ZoneStateVote{token, Whole(all.at("vote"))};
+  EndpointListPart part;
   part.token = token;
   part.revision = Revision(all.at("list"));
   part.after = Revision(all.at("after"));
@@ -98,30 +98,30 @@
 
 }  // namespace
 
-std::vector<std::uint8_t> ToBytes(const std::string& from, Duty duty, const DutyWord& word) {
+std::vector<std::uint8_t> ToBytes(const std::string& from, LeaseRole role, const CoordinationMessage& word) {
   json all = std::visit([](const auto& w) { return Body(w); }, word);
   all["v"] = kVersion;
   all["from"] = from;
-  all["duty"] = kDuties[static_cast<std::size_t>(duty)];
+  all["duty"] = kRoles[static_cast<std::size_t>(role)];
   return json::to_cbor(all);
 }
 
-std::optional<FromPeer> ParseDutyWord(const std::uint8_t* bytes, std::size_t size) {
-  if (size > kMostDutyWord) return std::nullopt;
+std::optional<ReceivedMessage> DecodeMessage(const std::uint8_t* bytes, std::size_t size) {
+  if (size > kMaxMessageSize) return std::nullopt;
   try {
     const json all = json::from_cbor(bytes, bytes + size, true, false);
     if (!all.is_object() || Whole(all.at("v")) != kVersion) return std::nullopt;
-    const auto duty = std::find(kDuties.begin(), kDuties.end(), all.value("duty", ""));
-    if (duty == kDuties.end()) return std::nullopt;
-    FromPeer read;
-    read.duty = static_cast<Duty>(duty - kDuties.begin());
-    read.from = all.at("from").get_ref<const std::string&>();
-    if (read.from.empty() || read.from.size() > kMostName) return std::nullopt;
-    read.word = Read(all);
+    const auto duty = std::find(kRoles.begin(), kRoles.end(), all.value("duty", ""));
+    if (duty == kRoles.end()) return std::nullopt;
+    ReceivedMessage read;
+    read.role = static_cast<LeaseRole>(duty - kRoles.begin());
+    read.sender = all.at("from").get_ref<const std::string&>();
+    if (read.sender.empty() || read.sender.size() > kMostName) return std::nullopt;
+    read.message = Read(all);
     return read;
   } catch (const std::exception&) {  // a field is missing, of another kind, or of no sense
     return std::nullopt;
   }
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::coordination
--- a/src/coordination/zone_health_evaluator.cpp
+++ b/src/coordination/zone_health_evaluator.cpp
@@ -5,7 +5,7 @@
 
 #include "coordination/message_codec.hpp"
 
-namespace meadowyard {
+namespace meadowyard::coordination {
 namespace {
 
 constexpr double kStep = 0.1;            // levels are whole multiples of it
@@ -24,9 +24,11 @@
 
 }  // namespace
 
-void ZoneJudge::See(Millis now, int gateway, const ZoneLoadReport& sights) { seen_[gateway] = {now, sights}; }
+void ZoneHealthEvaluator::OnLoadReport(Millis now, int gateway, const ZoneLoadReport& sights) {
+  seen_[gateway] = {now, sights};
+}
 
-std::map<std::string, ZoneJudge::Now> ZoneJudge::Look(Millis now) {
+std::map<std::string, ZoneHealthEvaluator::Now> ZoneHealthEvaluator::Look(Millis now) {
   struct Sum {
     double fit = 0, ended = 0, good = 0;
     int from = 0;
@@ -67,13 +69,13 @@
 
 // What is not served well of what comes to a zone is beyond it. As only a share came, it may be much less
 // than its servers seem good for: slow ones are as many as ever.
-double ZoneJudge::Target(Millis now, const Now& seen, double level) const {
+double ZoneHealthEvaluator::Target(Millis now, const Now& seen, double level) const {
   const double fit = seen.fit < kFailed ? 0 : seen.fit;
   if (seen.good >= kGood || now - shifted_at_ < times_.settles) return Rounded(fit);
   return Rounded(std::min(fit, std::min(1.0, times_.spare * level) * seen.good / times_.spare));
 }
 
-double ZoneJudge::Next(Millis now, Zone& zone, double level, double target) const {
+double ZoneHealthEvaluator::Next(Millis now, Zone& zone, double level, double target) const {
   const bool low = target < level && (target <= level - kFall + kStep / 2 || target <= 0);
   const bool high = target > level;
   if (!low) zone.low_since = 0;
@@ -87,7 +89,7 @@
   return level;
 }
 
-std::optional<std::vector<ZoneAgreement::Zone>> ZoneJudge::Wants(
+std::optional<std::vector<ZoneAgreement::Zone>> ZoneHealthEvaluator::Evaluate(
     Millis now, const std::vector<ZoneAgreement::Zone>& agreed) {
   const auto fresh = std::count_if(seen_.begin(), seen_.end(),
                                    [&](const auto& s) { return now - s.second.at < times_.fresh; });
@@ -107,7 +109,7 @@
     all.erase(z.name);
   }
   for (const auto& [name, seen] : all) {
-    if (next.size() >= kMostZones) break;
+    if (next.size() >= kMaxZones) break;
     changed = true;
     next.push_back({name, Target(now, seen, 1), seen.size, seen.demand});
   }
@@ -115,8 +117,8 @@
   return next;
 }
 
-void ZoneJudge::Agreed(Millis now, const std::vector<ZoneAgreement::Zone>& before,
-                       const std::vector<ZoneAgreement::Zone>& after) {
+void ZoneHealthEvaluator::OnAgreement(Millis now, const std::vector<ZoneAgreement::Zone>& before,
+                                      const std::vector<ZoneAgreement::Zone>& after) {
   changed_at_ = now;
   for (const ZoneAgreement::Zone& z : after) {
     const auto old =
@@ -137,4 +139,4 @@
   }
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::coordination
--- a/src/coordination/zone_health_evaluator.hpp
+++ b/src/coordination/zone_health_evaluator.hpp
@@ -10,9 +10,9 @@
 
 #include "meadowyard/policy.hpp"
 
-namespace meadowyard {
+namespace meadowyard::coordination {
 
-class ZoneJudge {
+class ZoneHealthEvaluator {
  public:
   struct Times {
     Millis fresh = 1000;        // what was seen longer ago does not count
@@ -23,19 +23,19 @@
     Millis hold = 5000;         // after a fall; doubles where it fell again after a rise
     Millis most_hold = 300000;  // and is at most
   };
-  ZoneJudge(int gateways, Times times) : gateways_(gateways), times_(times) {}
+  ZoneHealthEvaluator(int gateways, Times times) : gateways_(gateways), times_(times) {}
 
-  void See(Millis now, int gateway, const ZoneLoadReport& sights);
+  void OnLoadReport(Millis now, int gateway, const ZoneLoadReport& sights);
   // What is in force changes: rests begin anew from there.
-  void Agreed(Millis now, const std::vector<ZoneAgreement::Zone>& before,
-              const std::vector<ZoneAgreement::Zone>& after);
+  void OnAgreement(Millis now, const std::vector<ZoneAgreement::Zone>& before,
+                   const std::vector<ZoneAgreement::Zone>& after);
   // What should be agreed in place of `agreed`, or nothing. To be asked again and again by whoever may
   // propose.
-  std::optional<std::vector<ZoneAgreement::Zone>> Wants(Millis now,
-                                                        const std::vector<ZoneAgreement::Zone>& agreed);
+  std::optional<std::vector<ZoneAgreement::Zone>> Evaluate(Millis now,
+                                                           const std::vector<ZoneAgreement::Zone>& agreed);
 
  private:
-  struct Seen {
+  struct ObserveToken {
     Millis at = 0;
     ZoneLoadReport sights;
   };
@@ -56,11 +56,11 @@
 
   const int gateways_;
   const Times times_;
-  std::map<int, Seen> seen_;  // by gateway
+  std::map<int, ObserveToken> seen_;  // by gateway
   std::map<std::string, Zone> zones_;
   Millis changed_at_ = 0, shifted_at_ = 0;  // anything that is agreed; some zone's health, and so traffic
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::coordination
 
 #endif  // MEADOWYARD_COORDINATION_ZONE_HEALTH_EVALUATOR_HPP_
--- a/src/coordination/zone_state_coordinator.hpp
+++ b/src/coordination/zone_state_coordinator.hpp
@@ -15,37 +15,40 @@
 #include "coordination/message_codec.hpp"
 #include "coordination/zone_health_evaluator.hpp"
 
-namespace meadowyard {
+namespace meadowyard::coordination {
 
-class ZoneDuty {
+class ZoneStateCoordinator {
  public:
   struct Handlers {
-    std::function<void(int to, const DutyWord&)> send;
+    std::function<void(int to, const CoordinationMessage&)> send;
     std::function<void(const ZoneAgreement&)> agreed;  // to go by from now on
   };
   struct Times {
     Lease::Times lease;
-    ZoneJudge::Times judge;
+    ZoneHealthEvaluator::Times evaluator;
     Millis again = 400;  // from an offer without enough votes to the next
   };
-  ZoneDuty(int self, int gateways, Times times, Millis now, Token least, Handlers handlers);
+  ZoneStateCoordinator(int self, int gateways, Times times, Millis now, FencingToken least,
+                       Handlers handlers);
 
   // To be called again and again, with what this gateway sees itself; `chance` as in Lease.
-  void Beat(Millis now, double chance, const ZoneLoadReport& own);
-  void See(Millis now, int gateway, const ZoneLoadReport& sights) { judge_.See(now, gateway, sights); }
-  void Hear(Millis now, int from, const DutyWord& word);
-  void Stopping();
+  void Tick(Millis now, double chance, const ZoneLoadReport& own);
+  void OnLoadReport(Millis now, int gateway, const ZoneLoadReport& sights) {
+    evaluator_.OnLoadReport(now, gateway, sights);
+  }
+  void OnMessage(Millis now, int from, const CoordinationMessage& word);
+  void Stop();
   const ZoneAgreement& agreed() const { return agreed_; }
   nlohmann::json Status(Millis now) const;
 
  private:
-  void Hear(Millis now, int from, const Lease::Word& word);
-  void Hear(Millis now, int from, const ZonesWord& word);
-  void Hear(Millis now, int from, const ZonesVote& vote);
-  void Hear(Millis, int, const ListPart&) {}  // another duty's
-  void Hear(Millis, int, const ListWanted&) {}
-  void Post(const std::vector<Lease::Letter>& letters);
-  void ToOthers(const DutyWord& word);
+  void OnMessage(Millis now, int from, const Lease::Message& word);
+  void OnMessage(Millis now, int from, const ZoneStateAnnouncement& word);
+  void OnMessage(Millis now, int from, const ZoneStateVote& vote);
+  void OnMessage(Millis, int, const EndpointListPart&) {}  // another duty's
+  void OnMessage(Millis, int, const EndpointListRequest&) {}
+  void Post(const std::vector<Lease::Envelope>& letters);
+  void ToOthers(const CoordinationMessage& word);
   void Offer(Millis now, std::vector<ZoneAgreement::Zone> zones);
   void Count(Millis now, int from);
   void Adopt(Millis now, const ZoneAgreement& state);
@@ -54,16 +57,16 @@
   const Times times_;
   const Handlers handlers_;
   Lease lease_;
-  ZoneJudge judge_;
+  ZoneHealthEvaluator evaluator_;
   ZoneAgreement agreed_;
   std::optional<ZoneAgreement> offer_;
   std::set<int> votes_;
   Millis offered_at_ = 0;
-  Token acted_ = 0;    // the highest that an action came with
-  Millis votes_from_;  // one that starts has forgotten whom it followed
+  FencingToken acted_ = 0;  // the highest that an action came with
+  Millis votes_from_;       // one that starts has forgotten whom it followed
   std::uint64_t offered_ = 0, changes_ = 0, turned_down_ = 0;
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::coordination
 
 #endif  // MEADOWYARD_COORDINATION_ZONE_STATE_COORDINATOR_HPP_
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -168,10 +168,11 @@
 // Duties among what gateways tell each other. Who is told of a host by another gateway was told of it.
 void Fleet::Overheard(int from, int to, const char* bytes, std::size_t size, bool arrived) {
   if (!arrived) ++ledger_.peer_words;
-  const auto word = ParseDutyWord(reinterpret_cast<const std::uint8_t*>(bytes), size);
+  const auto word = coordination::DecodeMessage(reinterpret_cast<const std::uint8_t*>(bytes), size);
   if (!word) return;
-  if (word->duty == Duty::kZones) return OverheardOfHalls(from, to, word->word, arrived);
-  const auto* const part = std::get_if<ListPart>(&word->word);
+  if (word->role == coordination::LeaseRole::kZoneState)
+    return OverheardOfHalls(from, to, word->message, arrived);
+  const auto* const part = std::get_if<coordination::EndpointListPart>(&word->message);
   if (part == nullptr) return;
   if (!arrived) return ledger_.acts.push_back({Clock(), from, to, part->token, part->revision, 0});
   for (const discovery::EndpointRecord& host : part->hosts) {
@@ -182,13 +183,13 @@
   }
 }
 
-void Fleet::OverheardOfHalls(int from, int to, const DutyWord& word, bool arrived) {
+void Fleet::OverheardOfHalls(int from, int to, const coordination::CoordinationMessage& word, bool arrived) {
   HallsWord seen;
   (arrived ? seen.arrived : seen.left) = Clock();
   seen.from = from, seen.to = to;
-  if (const auto* const vote = std::get_if<ZonesVote>(&word)) {
+  if (const auto* const vote = std::get_if<coordination::ZoneStateVote>(&word)) {
     seen.kind = HallsWord::Kind::kVote, seen.term = vote->token, seen.version = vote->version;
-  } else if (const auto* const stand = std::get_if<ZonesWord>(&word)) {
+  } else if (const auto* const stand = std::get_if<coordination::ZoneStateAnnouncement>(&word)) {
     seen.kind = static_cast<HallsWord::Kind>(stand->kind);
     seen.term = stand->state.term, seen.version = stand->state.version;
     for (const auto& zone : stand->state.zones) seen.health.push_back({zone.name, zone.health});
--- a/src/lab/fleet.hpp
+++ b/src/lab/fleet.hpp
@@ -52,7 +52,7 @@
   void Replace(int host);
   void Cut(const Trouble& trouble, Random& random);
   Relay* RelayOf(int gateway, int host);
-  void OverheardOfHalls(int from, int to, const DutyWord& word, bool arrived);
+  void OverheardOfHalls(int from, int to, const coordination::CoordinationMessage& word, bool arrived);
   void Overheard(int from, int to, const char* bytes, std::size_t size, bool arrived);
 
   boost::asio::io_context& io_;
--- a/src/lab/referee.cpp
+++ b/src/lab/referee.cpp
@@ -128,7 +128,7 @@
   // Each act carries a token. Once a gateway has acted with a higher one, no other acts with a lower, and
   // none has another's.
   void JudgeDuty(int duty) {
-    Token highest = 0;
+    coordination::FencingToken highest = 0;
     int holder = -1;
     for (const DutyAct& act : e_.ledger.acts) {
       if (act.duty != duty) continue;
--- a/src/membership/heartbeat_codec.cpp
+++ b/src/membership/heartbeat_codec.cpp
@@ -50,7 +50,7 @@
 json EncodeZones(const std::vector<ZoneLoad>& zones) {
   json list = json::array();
   for (const ZoneLoad& each : zones) {
-    if (list.size() == kMostZones) break;
+    if (list.size() == coordination::kMaxZones) break;
     list.push_back({each.zone, each.capacity, each.available, each.completed, each.within_objective});
   }
   return list;
@@ -83,7 +83,7 @@
   ZoneLoadReport report;
   report.zone = ReadZoneName(message.Field(kZoneKey));
   report.arrival_rate = ReadNumber(message.Field(kArrivalRateKey));
-  for (const CborValue& item : message.Field(kZonesKey).Elements(kMostZones)) {
+  for (const CborValue& item : message.Field(kZonesKey).Elements(coordination::kMaxZones)) {
     report.zones.push_back({.zone = ReadZoneName(item.Element(0)),
                             .capacity = ReadNumber(item.Element(1)),
                             .available = ReadNumber(item.Element(2)),
--- a/src/membership/peer_transport.cpp
+++ b/src/membership/peer_transport.cpp
@@ -66,8 +66,8 @@
 
 void PeerLink::Got(std::size_t size) {
   const auto beat = DecodeHeartbeat({buffer_.data(), size});
-  const auto duty = beat ? std::nullopt : ParseDutyWord(buffer_.data(), size);
-  const std::string from = beat ? beat->sender : duty ? duty->from : "";
+  const auto duty = beat ? std::nullopt : coordination::DecodeMessage(buffer_.data(), size);
+  const std::string from = beat ? beat->sender : duty ? duty->sender : "";
   const auto peer = std::find_if(config_.all.begin(), config_.all.end(),
                                  [&](const PeerAddress& p) { return p.name == from; });
   if (peer == config_.all.end() || peer->address != from_) {
@@ -75,7 +75,7 @@
     return;
   }
   if (duty) {
-    handlers_.duty(static_cast<int>(peer - config_.all.begin()), duty->duty, duty->word);
+    handlers_.duty(static_cast<int>(peer - config_.all.begin()), duty->role, duty->message);
     return;
   }
   const Millis now = core::Now();
@@ -89,10 +89,10 @@
   Tell(std::move(gossip));
 }
 
-void PeerLink::Send(int to, Duty duty, const DutyWord& word) {
+void PeerLink::Send(int to, coordination::LeaseRole duty, const coordination::CoordinationMessage& word) {
   if (!socket_.is_open()) return;
   error_code ignored;
-  socket_.send_to(asio::buffer(ToBytes(config_.all[config_.self].name, duty, word)),
+  socket_.send_to(asio::buffer(coordination::ToBytes(config_.all[config_.self].name, duty, word)),
                   config_.all[static_cast<std::size_t>(to)].address, 0, ignored);
   ++sent_;
 }
--- a/src/membership/peer_transport.hpp
+++ b/src/membership/peer_transport.hpp
@@ -23,8 +23,9 @@
   struct Handlers {
     std::function<Gossip()> gossip;  // what the others are to be told
     std::function<void(MembershipUpdate)> news;
-    std::function<void(int from, Duty duty, const DutyWord& word)> duty;  // by the list's order
-    std::function<void(double chance)> beat;                              // after each
+    std::function<void(int from, coordination::LeaseRole duty, const coordination::CoordinationMessage& word)>
+        duty;                                 // by the list's order
+    std::function<void(double chance)> beat;  // after each
     std::function<std::optional<ZoneLoadReport>()>
         sights;  // to tell the others; nothing where they need none
     std::function<void(int from, const ZoneLoadReport& sights)> seen;
@@ -33,7 +34,7 @@
   PeerLink(boost::asio::io_context& io, PeersConfig config, Handlers handlers);
 
   const PeersConfig& config() const { return config_; }
-  void Send(int to, Duty duty, const DutyWord& word);
+  void Send(int to, coordination::LeaseRole duty, const coordination::CoordinationMessage& word);
   // For operators: who was heard, and what this gateway takes from that.
   nlohmann::json Status() const;
 
--- a/src/membership/peers_config.hpp
+++ b/src/membership/peers_config.hpp
@@ -31,7 +31,7 @@
   bool share_list = false;       // one gateway at a time reads the list of hosts for all
   Millis lease = 3000;           // that it has the duty for, until it asks again
   ZoneRoutingSettings locality;  // requests go by zones, as the gateways agree
-  ZoneJudge::Times zones;        // when they do
+  coordination::ZoneHealthEvaluator::Times zones;        // when they do
 };
 
 // Throws EdgeError (file, line and field). `name` is this gateway's, unless the file says so; without one the
--- a/tests/coordination/characterization_test.cpp
+++ b/tests/coordination/characterization_test.cpp
@@ -31,6 +31,8 @@
 namespace meadowyard::testing {
 namespace {
 
+using namespace coordination;
+
 constexpr int kEvents = 10000;
 constexpr std::uint64_t kSeeds[] = {1, 2, 3, 4, 5, 6};
 
@@ -67,8 +69,8 @@
         clocks_(size_, random_),
         network_(random_.Between(0, 0.2), 0.05) {
     times_.term = random_.Between(500, 3000);
-    times_.drift = 0.02;
-    times_.patience = random_.Between(20, 200);
+    times_.max_clock_drift = 0.02;
+    times_.retry_interval = random_.Between(20, 200);
     for (int g = 0; g < size_; ++g) leases_.push_back(Start(g));
   }
 
@@ -88,66 +90,66 @@
   void PlayOne() {
     const int kind = random_.Below(10000);
     int g = random_.Below(size_);
-    std::vector<Lease::Letter> out;
+    std::vector<Lease::Envelope> out;
     if (kind < 8300) {
       network_.DeliverOne(random_, [&](const auto& datagram) {
         g = datagram.to;
-        leases_[At(g)].Hear(clocks_.Now(g), datagram.from, datagram.message, out);
+        leases_[At(g)].OnMessage(clocks_.Now(g), datagram.from, datagram.message, out);
       });
     } else if (kind < 9900) {
-      leases_[At(g)].Pass(clocks_.Now(g), random_.Fraction(), out);
+      leases_[At(g)].Tick(clocks_.Now(g), random_.Fraction(), out);
     } else if (kind < 9930) {
       const int from = random_.Below(size_);
-      leases_[At(g)].Hear(clocks_.Now(g), from, AnyWord(), out);
+      leases_[At(g)].OnMessage(clocks_.Now(g), from, AnyWord(), out);
     } else if (kind < 9940) {
-      leases_[At(g)].GiveUp(clocks_.Now(g) + random_.Between(0, times_.term));
+      leases_[At(g)].Release(clocks_.Now(g) + random_.Between(0, times_.term));
     } else if (kind < 9960) {
-      leases_[At(g)].Seen(AnyToken());
+      leases_[At(g)].ObserveToken(AnyToken());
     } else if (kind < 9968) {
       leases_[At(g)] = Start(g);
     }
-    for (const Lease::Letter& letter : out) Post(g, letter);
+    for (const Lease::Envelope& letter : out) Post(g, letter);
     AddStatus(g);
   }
 
-  Token AnyToken() {
-    const Token in_use = leases_[random_.Index(leases_.size())].token();
+  FencingToken AnyToken() {
+    const FencingToken in_use = leases_[random_.Index(leases_.size())].token();
     return in_use + random_.Next() % 600;
   }
 
   // A message that nobody sent; its numbers are near those in use.
-  Lease::Word AnyWord() {
-    Lease::Word word;
-    word.kind = static_cast<Lease::Word::Kind>(random_.Below(5));
+  Lease::Message AnyWord() {
+    Lease::Message word;
+    word.type = static_cast<Lease::Message::Type>(random_.Below(5));
     word.token = AnyToken();
-    word.seen = word.token + random_.Next() % 300;
-    word.holder = random_.Below(size_ + 1) - 1;
+    word.highest_promised = word.token + random_.Next() % 300;
+    word.owner = random_.Below(size_ + 1) - 1;
     return word;
   }
 
-  void Post(int from, const Lease::Letter& letter) {
+  void Post(int from, const Lease::Envelope& letter) {
     digest_.Add(from);
     digest_.Add(letter.to);
-    digest_.Add(static_cast<int>(letter.word.kind));
-    digest_.Add(letter.word.token);
-    digest_.Add(letter.word.seen);
-    digest_.Add(letter.word.holder);
-    network_.Send(from, letter.to, letter.word);
+    digest_.Add(static_cast<int>(letter.message.type));
+    digest_.Add(letter.message.token);
+    digest_.Add(letter.message.highest_promised);
+    digest_.Add(letter.message.owner);
+    network_.Send(from, letter.to, letter.message);
   }
 
   void AddStatus(int g) {
     const Lease& lease = leases_[At(g)];
     const Millis now = clocks_.Now(g);
-    digest_.Add(lease.Holds(now));
+    digest_.Add(lease.IsHeld(now));
     digest_.Add(lease.token());
     digest_.Add(lease.held_until());
-    digest_.Add(lease.Holder(now));
+    digest_.Add(lease.Owner(now));
   }
 
   SplitMix64 random_;
   const int size_;
   Clocks clocks_;
-  UnreliableNetwork<Lease::Word> network_;
+  UnreliableNetwork<Lease::Message> network_;
   Lease::Times times_;
   std::vector<Lease> leases_;
   Digest digest_;
@@ -184,43 +186,43 @@
     if (duties_.size() <= At(g)) duties_.resize(At(g) + 1);
     const std::optional<std::int64_t> revision =
         random_.Chance(0.5) ? std::optional(lists_[At(g)].revision) : std::nullopt;
-    ListDuty::Handlers handlers;
-    handlers.send = [this, g](int to, const DutyWord& word) { Post(g, to, word); };
+    EndpointListLeader::Handlers handlers;
+    handlers.send = [this, g](int to, const CoordinationMessage& word) { Post(g, to, word); };
     handlers.whole = [this, g] { return lists_[At(g)]; };
     handlers.told = [this, g](const discovery::EndpointList& list) { Received(g, list); };
     handlers.watch = [this, g](bool on) {
       digest_.Add(g);
       digest_.Add(on);
     };
-    duties_[At(g)] =
-        std::make_unique<ListDuty>(g, size_, times_, clocks_.Now(g), clocks_.Elapsed(), revision, handlers);
+    duties_[At(g)] = std::make_unique<EndpointListLeader>(g, size_, times_, clocks_.Now(g), clocks_.Elapsed(),
+                                                          revision, handlers);
   }
 
   void PlayOne() {
     const int kind = random_.Below(10000);
     int g = random_.Below(size_);
-    ListDuty& duty = *duties_[At(g)];
+    EndpointListLeader& duty = *duties_[At(g)];
     const Millis now = clocks_.Now(g);
     if (kind < 8000) {
       network_.DeliverOne(random_, [&](const auto& datagram) {
         g = datagram.to;
-        duties_[At(g)]->Hear(clocks_.Now(g), datagram.from, datagram.message);
+        duties_[At(g)]->OnMessage(clocks_.Now(g), datagram.from, datagram.message);
       });
     } else if (kind < 9400) {
-      duty.Beat(now, random_.Fraction());
+      duty.Tick(now, random_.Fraction());
     } else if (kind < 9700) {
-      if (duty.watches()) Discover(g);
+      if (duty.watches_discovery()) Discover(g);
     } else if (kind < 9850) {
       ChangeHosts();
     } else if (kind < 9880) {
       const int from = random_.Below(size_);
-      duty.Hear(now, from, AnyWord());
+      duty.OnMessage(now, from, AnyWord());
     } else if (kind < 9886) {
-      duty.Failed(now);
+      duty.OnDiscoveryFailed(now);
     } else if (kind < 9890) {
-      duty.Moved(now);
+      duty.OnDiscoveryReplaced(now);
     } else if (kind < 9894) {
-      duty.Stopping(now);
+      duty.Stop(now);
       Start(g);
     } else if (kind < 9902) {
       Start(g);
@@ -264,7 +266,7 @@
       list.endpoints.clear();
     }
     Merge(g, list);
-    duties_[At(g)]->Told(clocks_.Now(g), list);
+    duties_[At(g)]->OnDiscoveryUpdate(clocks_.Now(g), list);
   }
 
   void Merge(int g, const discovery::EndpointList& list) {
@@ -285,10 +287,10 @@
   }
 
   // A message that nobody sent; its numbers are near those in use.
-  DutyWord AnyWord() {
-    const Token token = duties_[random_.Index(duties_.size())]->Status(clocks_.Now(0))["token"];
-    if (random_.Chance(0.3)) return ListWanted{token + random_.Next() % 3};
-    ListPart part;
+  CoordinationMessage AnyWord() {
+    const FencingToken token = duties_[random_.Index(duties_.size())]->Status(clocks_.Now(0))["token"];
+    if (random_.Chance(0.3)) return EndpointListRequest{token + random_.Next() % 3};
+    EndpointListPart part;
     part.token = token + random_.Next() % 3;
     part.revision = truth_.revision + random_.Below(3) - 1;
     part.after = part.revision - random_.Below(3);
@@ -299,27 +301,27 @@
     return part;
   }
 
-  void Post(int from, int to, const DutyWord& word) {
+  void Post(int from, int to, const CoordinationMessage& word) {
     digest_.Add(from);
     digest_.Add(to);
-    digest_.Add(ToBytes("g" + std::to_string(from), Duty::kList, word));
+    digest_.Add(ToBytes("g" + std::to_string(from), LeaseRole::kEndpointList, word));
     network_.Send(from, to, word);
   }
 
   void AddStatus(int g) {
     digest_.Add(duties_[At(g)]->Status(clocks_.Now(g)).dump());
-    digest_.Add(duties_[At(g)]->watches());
+    digest_.Add(duties_[At(g)]->watches_discovery());
   }
 
   SplitMix64 random_;
   const int size_;
   Clocks clocks_;
-  UnreliableNetwork<DutyWord> network_;
-  ListDuty::Times times_;
+  UnreliableNetwork<CoordinationMessage> network_;
+  EndpointListLeader::Times times_;
   discovery::EndpointList truth_;
   std::vector<discovery::EndpointRecord> changed_;
   std::vector<discovery::EndpointList> lists_;
-  std::vector<std::unique_ptr<ListDuty>> duties_;
+  std::vector<std::unique_ptr<EndpointListLeader>> duties_;
   Digest digest_;
   int next_host_ = 0;
 };
@@ -365,9 +367,9 @@
         clocks_(size_, random_),
         network_(random_.Between(0, 0.15), 0.03) {
     times_.lease = {random_.Between(400, 1200), 0.02, random_.Between(20, 100)};
-    times_.judge.hold = random_.Between(500, 2000);
-    times_.judge.rises = random_.Between(300, 2000);
-    times_.judge.settles = random_.Between(300, 2000);
+    times_.evaluator.hold = random_.Between(500, 2000);
+    times_.evaluator.rises = random_.Between(300, 2000);
+    times_.evaluator.settles = random_.Between(300, 2000);
     times_.again = random_.Between(100, 400);
     for (int g = 0; g < size_; ++g) Start(g);
   }
@@ -385,21 +387,21 @@
  private:
   void Start(int g) {
     if (duties_.size() <= At(g)) duties_.resize(At(g) + 1);
-    ZoneDuty::Handlers handlers;
-    handlers.send = [this, g](int to, const DutyWord& word) { Post(g, to, word); };
-    handlers.agreed = [this, g](const ZoneAgreement& state) { Agreed(g, state); };
+    ZoneStateCoordinator::Handlers handlers;
+    handlers.send = [this, g](int to, const CoordinationMessage& word) { Post(g, to, word); };
+    handlers.agreed = [this, g](const ZoneAgreement& state) { OnAgreement(g, state); };
     duties_[At(g)] =
-        std::make_unique<ZoneDuty>(g, size_, times_, clocks_.Now(g), clocks_.Elapsed(), handlers);
+        std::make_unique<ZoneStateCoordinator>(g, size_, times_, clocks_.Now(g), clocks_.Elapsed(), handlers);
   }
 
   void PlayOne() {
     const int kind = random_.Below(10000);
     int g = random_.Below(size_);
-    ZoneDuty& duty = *duties_[At(g)];
+    ZoneStateCoordinator& duty = *duties_[At(g)];
     if (kind < 8300) {
       network_.DeliverOne(random_, [&](const auto& datagram) {
         g = datagram.to;
-        duties_[At(g)]->Hear(clocks_.Now(g), datagram.from, datagram.message);
+        duties_[At(g)]->OnMessage(clocks_.Now(g), datagram.from, datagram.message);
       });
     } else if (kind < 9800) {
       Tick(g);
@@ -407,9 +409,9 @@
       weather_.Change(random_);
     } else if (kind < 9880) {
       const int from = random_.Below(size_);
-      duty.Hear(clocks_.Now(g), from, AnyWord());
+      duty.OnMessage(clocks_.Now(g), from, AnyWord());
     } else if (kind < 9884) {
-      duty.Stopping();
+      duty.Stop();
       Start(g);
     } else if (kind < 9892) {
       Start(g);
@@ -420,26 +422,26 @@
   // A heartbeat: the others hear what this gateway observes, except some.
   void Tick(int g) {
     const ZoneLoadReport own = weather_.Observe(g, random_);
-    duties_[At(g)]->Beat(clocks_.Now(g), random_.Fraction(), own);
+    duties_[At(g)]->Tick(clocks_.Now(g), random_.Fraction(), own);
     for (int to = 0; to < size_; ++to) {
-      if (to != g && random_.Chance(0.9)) duties_[At(to)]->See(clocks_.Now(to), g, own);
+      if (to != g && random_.Chance(0.9)) duties_[At(to)]->OnLoadReport(clocks_.Now(to), g, own);
     }
   }
 
   // A message that nobody sent; its numbers are near those in use.
-  DutyWord AnyWord() {
+  CoordinationMessage AnyWord() {
     const ZoneAgreement& agreed = duties_[random_.Index(duties_.size())]->agreed();
-    const Token token = agreed.term + random_.Next() % 3;
-    if (random_.Chance(0.3)) return ZonesVote{token, agreed.version + random_.Next() % 2};
-    ZonesWord word;
-    word.kind = static_cast<ZonesWord::Kind>(random_.Below(3));
+    const FencingToken token = agreed.term + random_.Next() % 3;
+    if (random_.Chance(0.3)) return ZoneStateVote{token, agreed.version + random_.Next() % 2};
+    ZoneStateAnnouncement word;
+    word.kind = static_cast<ZoneStateAnnouncement::Kind>(random_.Below(3));
     word.token = token;
     word.state = agreed;
     word.state.version += random_.Next() % 2;
     return word;
   }
 
-  void Agreed(int g, const ZoneAgreement& state) {
+  void OnAgreement(int g, const ZoneAgreement& state) {
     digest_.Add(g);
     digest_.Add(state.term);
     digest_.Add(state.version);
@@ -451,10 +453,10 @@
     }
   }
 
-  void Post(int from, int to, const DutyWord& word) {
+  void Post(int from, int to, const CoordinationMessage& word) {
     digest_.Add(from);
     digest_.Add(to);
-    digest_.Add(ToBytes("g" + std::to_string(from), Duty::kZones, word));
+    digest_.Add(ToBytes("g" + std::to_string(from), LeaseRole::kZoneState, word));
     network_.Send(from, to, word);
   }
 
@@ -463,10 +465,10 @@
   SplitMix64 random_;
   const int size_;
   Clocks clocks_;
-  UnreliableNetwork<DutyWord> network_;
-  ZoneDuty::Times times_;
+  UnreliableNetwork<CoordinationMessage> network_;
+  ZoneStateCoordinator::Times times_;
   ZoneWeather weather_;
-  std::vector<std::unique_ptr<ZoneDuty>> duties_;
+  std::vector<std::unique_ptr<ZoneStateCoordinator>> duties_;
   Digest digest_;
 };
 
@@ -488,8 +490,8 @@
   }
 
  private:
-  static ZoneJudge::Times DrawTimes(SplitMix64& random) {
-    ZoneJudge::Times times;
+  static ZoneHealthEvaluator::Times DrawTimes(SplitMix64& random) {
+    ZoneHealthEvaluator::Times times;
     times.falls = random.Between(100, 600);
     times.rises = random.Between(300, 3000);
     times.settles = random.Between(300, 3000);
@@ -504,7 +506,7 @@
     const int g = random_.Below(size_);
     if (kind < 6500) {
       const ZoneLoadReport sights = weather_.Observe(g, random_);
-      judge_.See(now_, g, sights);
+      judge_.OnLoadReport(now_, g, sights);
     } else if (kind < 9800) {
       Ask();
     } else if (kind < 9850) {
@@ -515,10 +517,10 @@
   }
 
   void Ask() {
-    const auto next = judge_.Wants(now_, agreed_);
+    const auto next = judge_.Evaluate(now_, agreed_);
     digest_.Add(next.has_value());
     if (!next || random_.Chance(0.1)) return;  // not agreed to
-    judge_.Agreed(now_, agreed_, *next);
+    judge_.OnAgreement(now_, agreed_, *next);
     agreed_ = *next;
     AddState();
   }
@@ -529,7 +531,7 @@
     for (ZoneAgreement::Zone& zone : next) {
       if (random_.Chance(0.5)) zone.health = 0.1 * random_.Below(11);
     }
-    judge_.Agreed(now_, agreed_, next);
+    judge_.OnAgreement(now_, agreed_, next);
     agreed_ = next;
   }
 
@@ -544,7 +546,7 @@
 
   SplitMix64 random_;
   const int size_;
-  ZoneJudge judge_;
+  ZoneHealthEvaluator judge_;
   ZoneWeather weather_;
   std::vector<ZoneAgreement::Zone> agreed_;
   Digest digest_;
--- a/tests/coordination/lease_test.cpp
+++ b/tests/coordination/lease_test.cpp
@@ -21,12 +21,14 @@
 namespace meadowyard::testing {
 namespace {
 
+using namespace coordination;
+
 constexpr int kGateways = 3;
 constexpr Lease::Times kTimes = {4, 0.25, 0};
 
 struct Sent {
   int from = 0, to = 0;
-  Lease::Word word;
+  Lease::Message word;
   bool operator==(const Sent&) const = default;
 };
 
@@ -47,7 +49,7 @@
   std::vector<Sent> under_way;
   std::array<int, kGateways> attempts = {};
   int time = 0, restarts = 0, holder = -1;
-  Token token = 0;
+  FencingToken token = 0;
 };
 
 class Explorer {
@@ -81,9 +83,9 @@
     std::vector<std::string> letters;
     for (const Sent& s : w.under_way) {
       std::string letter;
-      for (const int n : {s.from, s.to, static_cast<int>(s.word.kind), s.word.holder}) Add(letter, n);
+      for (const int n : {s.from, s.to, static_cast<int>(s.word.type), s.word.owner}) Add(letter, n);
       Add(letter, s.word.token);
-      Add(letter, s.word.seen);
+      Add(letter, s.word.highest_promised);
       letters.push_back(letter);
     }
     std::sort(letters.begin(), letters.end());
@@ -94,9 +96,9 @@
     return XXH3_64bits(key.data(), key.size());
   }
 
-  static void Post(World& w, int from, const std::vector<Lease::Letter>& letters) {
-    for (const Lease::Letter& l : letters) {
-      const Sent sent{from, l.to, l.word};
+  static void Post(World& w, int from, const std::vector<Lease::Envelope>& letters) {
+    for (const Lease::Envelope& l : letters) {
+      const Sent sent{from, l.to, l.message};
       if (std::find(w.under_way.begin(), w.under_way.end(), sent) == w.under_way.end())
         w.under_way.push_back(sent);
     }
@@ -106,9 +108,9 @@
     trail_.push_back(event);
     int holders = 0;
     for (int g = 0; g < kGateways; ++g) {
-      if (!w.gateways[static_cast<std::size_t>(g)].Holds(At(g, w.time))) continue;
+      if (!w.gateways[static_cast<std::size_t>(g)].IsHeld(At(g, w.time))) continue;
       ++holders, ++held_;
-      const Token token = w.gateways[static_cast<std::size_t>(g)].token();
+      const FencingToken token = w.gateways[static_cast<std::size_t>(g)].token();
       if (g != w.holder && token <= w.token) Break("a later holder with no higher token");
       if (token > w.token) w.token = token, w.holder = g;
     }
@@ -136,21 +138,21 @@
     for (std::size_t i = 0; i < w.under_way.size(); ++i) {
       World next = w;
       const Sent s = w.under_way[i];
-      std::vector<Lease::Letter> out;
+      std::vector<Lease::Envelope> out;
       Lease& lease = next.gateways[static_cast<std::size_t>(s.to)];
-      lease.Hear(At(s.to, w.time), s.from, s.word, out);
+      lease.OnMessage(At(s.to, w.time), s.from, s.word, out);
       if (lease.state() == w.gateways[static_cast<std::size_t>(s.to)].state() && out.empty()) continue;
       Post(next, s.to, out);
       Go(std::move(next),
-         "m" + std::to_string(s.from) + std::to_string(s.to) + std::to_string(static_cast<int>(s.word.kind)),
+         "m" + std::to_string(s.from) + std::to_string(s.to) + std::to_string(static_cast<int>(s.word.type)),
          left);
     }
     for (int g = 0; g < kGateways; ++g) {
       const auto at = static_cast<std::size_t>(g);
       if (w.attempts[at] < limits_.attempts) {
         World next = w;
-        std::vector<Lease::Letter> out;
-        next.gateways[at].Pass(At(g, w.time), 0, out);
+        std::vector<Lease::Envelope> out;
+        next.gateways[at].Tick(At(g, w.time), 0, out);
         if (!out.empty()) {
           ++next.attempts[at];
           Post(next, g, out);
@@ -162,7 +164,7 @@
         ++next.restarts;
         const Millis now = At(g, w.time);
         next.gateways[at] = Lease(g, kGateways, kTimes, faults_.forgetful ? now - 100 : now,
-                                  1000 + static_cast<Token>(w.time));
+                                  1000 + static_cast<FencingToken>(w.time));
         Go(std::move(next), "restart" + std::to_string(g), left);
       }
     }
@@ -217,7 +219,7 @@
     for (int g = 0; g < n; ++g) gateways.emplace_back(g, n, times, -10000, 1);
     std::vector<std::pair<Millis, Sent>> under_way;
     std::vector<Millis> gone(static_cast<std::size_t>(n), -1), passed_on;
-    Token last = 0;
+    FencingToken last = 0;
     Millis lost_at = -1;
     std::size_t words = 0;
     for (Millis now = 0; now < (n > 9 ? 60000 : 300000); now += 50) {
@@ -228,25 +230,25 @@
       due.assign(first_due, under_way.end());
       under_way.erase(first_due, under_way.end());
       int holder = -1;
-      const auto post = [&](int from, const std::vector<Lease::Letter>& out) {
+      const auto post = [&](int from, const std::vector<Lease::Envelope>& out) {
         for (const auto& l : out) {
           ++words;
-          if (chance() > 0.05) under_way.push_back({now + 1 + 20 * chance(), {from, l.to, l.word}});
+          if (chance() > 0.05) under_way.push_back({now + 1 + 20 * chance(), {from, l.to, l.message}});
         }
       };
       for (const auto& [at, s] : due) {
-        std::vector<Lease::Letter> out;
+        std::vector<Lease::Envelope> out;
         if (gone[static_cast<std::size_t>(s.to)] >= now) continue;
-        gateways[static_cast<std::size_t>(s.to)].Hear(now, s.from, s.word, out);
+        gateways[static_cast<std::size_t>(s.to)].OnMessage(now, s.from, s.word, out);
         post(s.to, out);
       }
       for (int g = 0; g < n; ++g) {
         const auto at = static_cast<std::size_t>(g);
         if (gone[at] >= now) continue;
-        std::vector<Lease::Letter> out;
-        gateways[at].Pass(now, chance(), out);
+        std::vector<Lease::Envelope> out;
+        gateways[at].Tick(now, chance(), out);
         post(g, out);
-        if (!gateways[at].Holds(now)) continue;
+        if (!gateways[at].IsHeld(now)) continue;
         EXPECT_EQ(holder, -1) << "two at " << now;
         holder = g;
         EXPECT_GE(gateways[at].token(), last);
@@ -264,7 +266,7 @@
         "%d gateways: %zu hand-overs, median %.0f ms, worst %.0f ms, %.1f words a gateway and second\n", n,
         passed_on.size(), passed_on[passed_on.size() / 2], passed_on.back(),
         static_cast<double>(words) / n / (n > 9 ? 60 : 300));
-    EXPECT_LE(passed_on.back(), times.term * (1 + times.drift) + 10 * times.patience);
+    EXPECT_LE(passed_on.back(), times.term * (1 + times.max_clock_drift) + 10 * times.retry_interval);
   }
 }
 
@@ -273,16 +275,16 @@
   explicit Readers(int n) {
     for (int g = 0; g < n; ++g) {
       lists.emplace_back();
-      ListDuty::Times times;
+      EndpointListLeader::Times times;
       times.lease = {1000, 0.01, 100};
-      duties.push_back(std::make_unique<ListDuty>(
+      duties.push_back(std::make_unique<EndpointListLeader>(
           g, n, times, now, 1, std::nullopt,
-          ListDuty::Handlers{[this, g](int to, const DutyWord& word) {
-                               letters.push_back({g, to, word});
-                             },
-                             [this, g] { return lists[static_cast<std::size_t>(g)]; },
-                             [this, g](const discovery::EndpointList& list) { Take(g, list); },
-                             [](bool) {}}));
+          EndpointListLeader::Handlers{[this, g](int to, const CoordinationMessage& word) {
+                                         letters.push_back({g, to, word});
+                                       },
+                                       [this, g] { return lists[static_cast<std::size_t>(g)]; },
+                                       [this, g](const discovery::EndpointList& list) { Take(g, list); },
+                                       [](bool) {}}));
     }
   }
   void Take(int g, const discovery::EndpointList& list) {
@@ -295,28 +297,28 @@
     }
     own.revision = list.revision;
   }
-  void Told(int g, const discovery::EndpointList& list) {  // by its own discovery
+  void OnDiscoveryUpdate(int g, const discovery::EndpointList& list) {  // by its own discovery
     Take(g, list);
-    duties[static_cast<std::size_t>(g)]->Told(now, list);
+    duties[static_cast<std::size_t>(g)]->OnDiscoveryUpdate(now, list);
     Deliver();
   }
   void Deliver() {
     while (!letters.empty()) {
       const auto [from, to, word] = letters.front();
       letters.erase(letters.begin());
-      const auto bytes = ToBytes("g", Duty::kList, word);  // as it crosses
-      const auto read = ParseDutyWord(bytes.data(), bytes.size());
+      const auto bytes = ToBytes("g", LeaseRole::kEndpointList, word);  // as it crosses
+      const auto read = DecodeMessage(bytes.data(), bytes.size());
       ASSERT_TRUE(read);
-      if (!lost(from, to)) duties[static_cast<std::size_t>(to)]->Hear(now, from, read->word);
+      if (!lost(from, to)) duties[static_cast<std::size_t>(to)]->OnMessage(now, from, read->message);
     }
   }
-  void Pass(Millis ms) {
+  void Tick(Millis ms) {
     for (const Millis until = now + ms; now < until; now += 50) {
       for (std::size_t g = 0; g < duties.size(); ++g)
-        duties[g]->Beat(now, static_cast<double>(g) / 3), Deliver();
+        duties[g]->Tick(now, static_cast<double>(g) / 3), Deliver();
     }
   }
-  int Holder() const {
+  int Owner() const {
     for (std::size_t g = 0; g < duties.size(); ++g) {
       if (duties[g]->Status(now)["holds"]) return static_cast<int>(g);
     }
@@ -325,8 +327,8 @@
 
   Millis now = 1000;
   std::vector<discovery::EndpointList> lists;
-  std::vector<std::unique_ptr<ListDuty>> duties;
-  std::vector<std::tuple<int, int, DutyWord>> letters;
+  std::vector<std::unique_ptr<EndpointListLeader>> duties;
+  std::vector<std::tuple<int, int, CoordinationMessage>> letters;
   std::function<bool(int, int)> lost = [](int, int) { return false; };
 };
 
@@ -344,20 +346,21 @@
   return list;
 }
 
-TEST(ListDuty, OneAsksDiscoveryAndAllHaveItsListWhateverIsLost) {
+TEST(EndpointListLeader, OneAsksDiscoveryAndAllHaveItsListWhateverIsLost) {
   Readers r(3);
-  for (int g = 0; g < 3; ++g) r.Told(g, Hosts(5, 0, 50));
-  r.Pass(3000);
-  const int holder = r.Holder();
+  for (int g = 0; g < 3; ++g) r.OnDiscoveryUpdate(g, Hosts(5, 0, 50));
+  r.Tick(3000);
+  const int holder = r.Owner();
   ASSERT_GE(holder, 0);
-  for (int g = 0; g < 3; ++g) EXPECT_EQ(r.duties[static_cast<std::size_t>(g)]->watches(), g == holder);
+  for (int g = 0; g < 3; ++g)
+    EXPECT_EQ(r.duties[static_cast<std::size_t>(g)]->watches_discovery(), g == holder);
   r.lost = [&](int from, int) { return from == holder; };
-  r.Told(holder, Hosts(6, 50, 45));  // nobody hears of it
+  r.OnDiscoveryUpdate(holder, Hosts(6, 50, 45));  // nobody hears of it
   r.lost = [](int, int) { return false; };
   discovery::EndpointList drained = Hosts(7, 3, 1, EndpointState::kDraining);
   drained.is_snapshot = false;
-  r.Told(holder, drained);
-  r.Pass(100);
+  r.OnDiscoveryUpdate(holder, drained);
+  r.Tick(100);
   for (int g = 0; g < 3; ++g) {
     EXPECT_EQ(r.lists[static_cast<std::size_t>(g)].revision, 7) << g;
     EXPECT_EQ(discovery::SerializeEndpointList(r.lists[static_cast<std::size_t>(g)]).size(),
@@ -366,57 +369,59 @@
   }
 }
 
-TEST(ListDuty, IsGivenUpWhenDiscoveryFailsAndAHolderThatIsBehindUndoesNothing) {
+TEST(EndpointListLeader, IsGivenUpWhenDiscoveryFailsAndAHolderThatIsBehindUndoesNothing) {
   Readers r(3);
-  for (int g = 0; g < 3; ++g) r.Told(g, Hosts(5, 0, 2));
-  r.Pass(3000);
-  const int first = r.Holder();
+  for (int g = 0; g < 3; ++g) r.OnDiscoveryUpdate(g, Hosts(5, 0, 2));
+  r.Tick(3000);
+  const int first = r.Owner();
   ASSERT_GE(first, 0);
   const int other = (first + 1) % 3;
-  r.Told(other, Hosts(9, 0, 2, EndpointState::kDraining));  // it has heard of more
-  r.Pass(500);
+  r.OnDiscoveryUpdate(other, Hosts(9, 0, 2, EndpointState::kDraining));  // it has heard of more
+  r.Tick(500);
   EXPECT_EQ(r.lists[static_cast<std::size_t>(other)].revision, 9);
-  r.duties[static_cast<std::size_t>(first)]->Failed(r.now);
-  EXPECT_NE(r.Holder(), first);
-  r.Pass(3000);
-  EXPECT_GE(r.Holder(), 0);
-  EXPECT_NE(r.Holder(), first);
+  r.duties[static_cast<std::size_t>(first)]->OnDiscoveryFailed(r.now);
+  EXPECT_NE(r.Owner(), first);
+  r.Tick(3000);
+  EXPECT_GE(r.Owner(), 0);
+  EXPECT_NE(r.Owner(), first);
   EXPECT_EQ(r.lists[static_cast<std::size_t>(other)].revision, 9);
 }
 
-TEST(ListDuty, TurnsDownWhoeverHadTheDutyBefore) {
+TEST(EndpointListLeader, TurnsDownWhoeverHadTheDutyBefore) {
   Readers r(3);
-  for (int g = 0; g < 3; ++g) r.Told(g, Hosts(5, 0, 2));
-  r.Pass(3000);
-  const int holder = r.Holder(), other = (holder + 1) % 3;
-  const Token token = r.duties[static_cast<std::size_t>(holder)]->Status(r.now)["token"];
-  ListPart late{token - 256, 6, 5, false, 0, 1, Hosts(6, 0, 2, EndpointState::kDraining).endpoints};
-  r.duties[static_cast<std::size_t>(other)]->Hear(r.now, (holder + 2) % 3, DutyWord(late));
+  for (int g = 0; g < 3; ++g) r.OnDiscoveryUpdate(g, Hosts(5, 0, 2));
+  r.Tick(3000);
+  const int holder = r.Owner(), other = (holder + 1) % 3;
+  const FencingToken token = r.duties[static_cast<std::size_t>(holder)]->Status(r.now)["token"];
+  EndpointListPart late{token - 256, 6, 5, false, 0, 1, Hosts(6, 0, 2, EndpointState::kDraining).endpoints};
+  r.duties[static_cast<std::size_t>(other)]->OnMessage(r.now, (holder + 2) % 3, CoordinationMessage(late));
   EXPECT_EQ(r.lists[static_cast<std::size_t>(other)].revision, 5);
   ASSERT_FALSE(r.letters.empty());
-  const auto said = std::get<Lease::Word>(std::get<2>(r.letters.back()));
-  EXPECT_EQ(said.kind, Lease::Word::Kind::kNo);
-  EXPECT_EQ(said.seen, token);
+  const auto said = std::get<Lease::Message>(std::get<2>(r.letters.back()));
+  EXPECT_EQ(said.type, Lease::Message::Type::kReject);
+  EXPECT_EQ(said.highest_promised, token);
 }
 
 TEST(DutyWords, AreWholeOrNone) {
-  const ListPart part{300, 7, 6, false, 0, 1, Hosts(7, 0, 3).endpoints};
-  for (const DutyWord& word :
-       {DutyWord(part), DutyWord(ListWanted{9}), DutyWord(Lease::Word{Lease::Word::Kind::kNo, 5, 8, -1}),
-        DutyWord(ZonesWord{ZonesWord::Kind::kAgreed, 9, {7, 3, {{"a", 0.5, 4, 100}, {"b", 1, 4, 90}}}}),
-        DutyWord(ZonesVote{9, 3})}) {
-    const auto bytes = ToBytes("g1", Duty::kZones, word);
-    const auto read = ParseDutyWord(bytes.data(), bytes.size());
+  const EndpointListPart part{300, 7, 6, false, 0, 1, Hosts(7, 0, 3).endpoints};
+  for (const CoordinationMessage& word :
+       {CoordinationMessage(part), CoordinationMessage(EndpointListRequest{9}),
+        CoordinationMessage(Lease::Message{Lease::Message::Type::kReject, 5, 8, -1}),
+        CoordinationMessage(ZoneStateAnnouncement{
+            ZoneStateAnnouncement::Kind::kCommitted, 9, {7, 3, {{"a", 0.5, 4, 100}, {"b", 1, 4, 90}}}}),
+        CoordinationMessage(ZoneStateVote{9, 3})}) {
+    const auto bytes = ToBytes("g1", LeaseRole::kZoneState, word);
+    const auto read = DecodeMessage(bytes.data(), bytes.size());
     ASSERT_TRUE(read);
-    EXPECT_EQ(ToBytes("g1", read->duty, read->word), bytes);
+    EXPECT_EQ(ToBytes("g1", read->role, read->message), bytes);
     std::mt19937 random(1);
     for (int i = 0; i < 10000; ++i) {
       auto broken = bytes;
       for (unsigned k = random() % 4; k-- > 0;)
         broken[random() % broken.size()] = static_cast<std::uint8_t>(random());
       if (random() % 3 == 0) broken.resize(random() % broken.size());
-      const auto got = ParseDutyWord(broken.data(), broken.size());
-      EXPECT_TRUE(!got || !got->from.empty());
+      const auto got = DecodeMessage(broken.data(), broken.size());
+      EXPECT_TRUE(!got || !got->sender.empty());
     }
   }
 }
--- a/tests/coordination/message_fixtures_test.cpp
+++ b/tests/coordination/message_fixtures_test.cpp
@@ -17,6 +17,8 @@
 namespace meadowyard::testing {
 namespace {
 
+using namespace coordination;
+
 using Bytes = std::vector<std::uint8_t>;
 
 std::string ToHex(const Bytes& bytes) {
@@ -58,8 +60,8 @@
   return host;
 }
 
-ListPart MakeListPart(bool complete) {
-  ListPart part;
+EndpointListPart MakeListPart(bool complete) {
+  EndpointListPart part;
   part.token = 77825;
   part.revision = 4711;
   part.after = 4709;
@@ -71,25 +73,25 @@
   return part;
 }
 
-ListPart MakeRevisionOnly() {
-  ListPart part;
+EndpointListPart MakeRevisionOnly() {
+  EndpointListPart part;
   part.token = 77825;
   part.revision = 4711;
   part.after = 4711;
   return part;
 }
 
-Lease::Word MakeLeaseWord(Lease::Word::Kind kind, Token seen, int holder) {
-  Lease::Word word;
-  word.kind = kind;
+Lease::Message MakeLeaseWord(Lease::Message::Type type, FencingToken seen, int holder) {
+  Lease::Message word;
+  word.type = type;
   word.token = 5000000257;
-  word.seen = seen;
-  word.holder = holder;
+  word.highest_promised = seen;
+  word.owner = holder;
   return word;
 }
 
-ZonesWord MakeZonesWord(ZonesWord::Kind kind, Token token) {
-  ZonesWord word;
+ZoneStateAnnouncement MakeZonesWord(ZoneStateAnnouncement::Kind kind, FencingToken token) {
+  ZoneStateAnnouncement word;
   word.kind = kind;
   word.token = token;
   word.state.term = 66049;
@@ -100,27 +102,27 @@
 
 struct Sample {
   std::string name;
-  Duty duty = Duty::kList;
-  DutyWord word;
+  LeaseRole duty = LeaseRole::kEndpointList;
+  CoordinationMessage word;
 };
 
 std::vector<Sample> Samples() {
-  using Kind = Lease::Word::Kind;
+  using Kind = Lease::Message::Type;
   return {
-      {"lease_ask", Duty::kList, MakeLeaseWord(Kind::kAsk, 0, -1)},
-      {"lease_promise_open", Duty::kList, MakeLeaseWord(Kind::kPromise, 0, -1)},
-      {"lease_promise_held", Duty::kZones, MakeLeaseWord(Kind::kPromise, 0, 2)},
-      {"lease_offer", Duty::kZones, MakeLeaseWord(Kind::kOffer, 0, 1)},
-      {"lease_taken", Duty::kList, MakeLeaseWord(Kind::kTaken, 0, 1)},
-      {"lease_no", Duty::kZones, MakeLeaseWord(Kind::kNo, 5000000513, -1)},
-      {"list_part_of_a_delta", Duty::kList, MakeListPart(false)},
-      {"list_part_of_a_snapshot", Duty::kList, MakeListPart(true)},
-      {"list_revision_only", Duty::kList, MakeRevisionOnly()},
-      {"list_wanted", Duty::kList, ListWanted{77825}},
-      {"zones_offer", Duty::kZones, MakeZonesWord(ZonesWord::Kind::kOffer, 66049)},
-      {"zones_agreed", Duty::kZones, MakeZonesWord(ZonesWord::Kind::kAgreed, 66305)},
-      {"zones_known", Duty::kZones, MakeZonesWord(ZonesWord::Kind::kKnown, 0)},
-      {"zones_vote", Duty::kZones, ZonesVote{66049, 12}},
+      {"lease_ask", LeaseRole::kEndpointList, MakeLeaseWord(Kind::kPrepareRequest, 0, -1)},
+      {"lease_promise_open", LeaseRole::kEndpointList, MakeLeaseWord(Kind::kPrepareResponse, 0, -1)},
+      {"lease_promise_held", LeaseRole::kZoneState, MakeLeaseWord(Kind::kPrepareResponse, 0, 2)},
+      {"lease_offer", LeaseRole::kZoneState, MakeLeaseWord(Kind::kProposeRequest, 0, 1)},
+      {"lease_taken", LeaseRole::kEndpointList, MakeLeaseWord(Kind::kProposeResponse, 0, 1)},
+      {"lease_no", LeaseRole::kZoneState, MakeLeaseWord(Kind::kReject, 5000000513, -1)},
+      {"list_part_of_a_delta", LeaseRole::kEndpointList, MakeListPart(false)},
+      {"list_part_of_a_snapshot", LeaseRole::kEndpointList, MakeListPart(true)},
+      {"list_revision_only", LeaseRole::kEndpointList, MakeRevisionOnly()},
+      {"list_wanted", LeaseRole::kEndpointList, EndpointListRequest{77825}},
+      {"zones_offer", LeaseRole::kZoneState, MakeZonesWord(ZoneStateAnnouncement::Kind::kProposed, 66049)},
+      {"zones_agreed", LeaseRole::kZoneState, MakeZonesWord(ZoneStateAnnouncement::Kind::kCommitted, 66305)},
+      {"zones_known", LeaseRole::kZoneState, MakeZonesWord(ZoneStateAnnouncement::Kind::kNewer, 0)},
+      {"zones_vote", LeaseRole::kZoneState, ZoneStateVote{66049, 12}},
   };
 }
 
@@ -128,10 +130,10 @@
   const auto recorded = RecordedMessages();
   ASSERT_EQ(recorded.size(), Samples().size());
   for (const auto& [name, bytes] : recorded) {
-    const auto read = ParseDutyWord(bytes.data(), bytes.size());
+    const auto read = DecodeMessage(bytes.data(), bytes.size());
     ASSERT_TRUE(read) << name;
-    EXPECT_EQ(read->from, "gateway-1") << name;
-    EXPECT_EQ(ToHex(ToBytes(read->from, read->duty, read->word)), ToHex(bytes)) << name;
+    EXPECT_EQ(read->sender, "gateway-1") << name;
+    EXPECT_EQ(ToHex(ToBytes(read->sender, read->role, read->message)), ToHex(bytes)) << name;
   }
 }
 
@@ -147,10 +149,10 @@
   auto recorded = RecordedMessages();
   for (const Sample& sample : Samples()) {
     const Bytes& bytes = recorded[sample.name];
-    const auto read = ParseDutyWord(bytes.data(), bytes.size());
+    const auto read = DecodeMessage(bytes.data(), bytes.size());
     ASSERT_TRUE(read) << sample.name;
-    EXPECT_EQ(read->duty, sample.duty) << sample.name;
-    EXPECT_EQ(read->word.index(), sample.word.index()) << sample.name;
+    EXPECT_EQ(read->role, sample.duty) << sample.name;
+    EXPECT_EQ(read->message.index(), sample.word.index()) << sample.name;
   }
 }
 
--- a/tests/coordination/zone_test.cpp
+++ b/tests/coordination/zone_test.cpp
@@ -17,6 +17,8 @@
 namespace meadowyard::testing {
 namespace {
 
+using namespace coordination;
+
 using Zone = ZoneAgreement::Zone;
 
 Settings Near(const std::string& zone) {
@@ -71,7 +73,7 @@
         Spread{"FitEnough", {{"a", 0.8, 4, 100}, {"b", 1, 4, 100}}, {{"a", 1}}},
         Spread{
             "HalfLost", {{"a", 0.5, 4, 100}, {"b", 1, 4, 100}, {"c", 1, 4, 100}}, {{"a", 0.7}, {"b", 0.3}}},
-        Spread{"Failed",
+        Spread{"OnDiscoveryFailed",
                {{"a", 0, 4, 100}, {"b", 1, 4, 100}, {"c", 1, 4, 100}},
                {{"a", 0}, {"b", 0.67}, {"c", 0.33}}},
         Spread{"NoRoomNearby",  // b, twice as busy, takes nothing from others; c is in another region
@@ -150,7 +152,7 @@
 struct Bench {
   // What each sees of zone a from now on: the share of its servers that is fit, and of its attempts that is
   // good.
-  void Pass(Millis ms, const std::function<std::pair<double, double>(double level)>& of_a) {
+  void Tick(Millis ms, const std::function<std::pair<double, double>(double level)>& of_a) {
     for (const Millis until = now + ms; now < until; now += 100) {
       for (int g = 0; g < 3; ++g) {
         ZoneLoadReport sights{std::string(1, static_cast<char>('a' + g)), 100, {}};
@@ -160,10 +162,10 @@
           const double ended = zone == sights.zone ? 100 : 0;
           sights.zones.push_back({zone, 4, 4 * fit, ended, ended * good});
         }
-        judge.See(now, g, sights);
+        judge.OnLoadReport(now, g, sights);
       }
-      if (auto next = judge.Wants(now, agreed)) {
-        judge.Agreed(now, agreed, *next);
+      if (auto next = judge.Evaluate(now, agreed)) {
+        judge.OnAgreement(now, agreed, *next);
         falls += agreed.empty() ? 0 : (*next)[0].health < Level("a");
         agreed = *next;
       }
@@ -176,12 +178,12 @@
     return 1;
   }
   Millis now = 1000;
-  ZoneJudge judge{3, {}};
+  ZoneHealthEvaluator judge{3, {}};
   std::vector<Zone> agreed;
   int falls = 0;
 };
 
-TEST(ZoneJudge, FollowsWhatTheGatewaysOfAZoneSee) {
+TEST(ZoneHealthEvaluator, FollowsWhatTheGatewaysOfAZoneSee) {
   struct Case {
     double fit, good, level;
   };
@@ -197,62 +199,62 @@
                         {1, 0.01, 0},
                         {0, 0, 0}}) {
     Bench bench;
-    bench.Pass(1000, [](double) { return std::pair(1.0, 1.0); });
+    bench.Tick(1000, [](double) { return std::pair(1.0, 1.0); });
     EXPECT_EQ(bench.Level("a"), 1);
-    bench.Pass(600, [&](double) { return std::pair(c.fit, c.good); });
+    bench.Tick(600, [&](double) { return std::pair(c.fit, c.good); });
     EXPECT_NEAR(bench.Level("a"), c.level, 0.01) << c.fit << ", " << c.good;
     EXPECT_EQ(bench.Level("b"), 1);
   }
 }
 
-TEST(ZoneJudge, LetsABlinkPassAndComesBackInSteps) {
+TEST(ZoneHealthEvaluator, LetsABlinkPassAndComesBackInSteps) {
   Bench bench;
-  bench.Pass(1000, [](double) { return std::pair(1.0, 1.0); });
-  bench.Pass(200, [](double) { return std::pair(0.0, 0.0); });
-  bench.Pass(1000, [](double) { return std::pair(1.0, 1.0); });
+  bench.Tick(1000, [](double) { return std::pair(1.0, 1.0); });
+  bench.Tick(200, [](double) { return std::pair(0.0, 0.0); });
+  bench.Tick(1000, [](double) { return std::pair(1.0, 1.0); });
   EXPECT_EQ(bench.falls, 0);
-  bench.Pass(1000, [](double) { return std::pair(0.0, 0.0); });
+  bench.Tick(1000, [](double) { return std::pair(0.0, 0.0); });
   EXPECT_EQ(bench.Level("a"), 0);
-  bench.Pass(4000, [](double) { return std::pair(1.0, 1.0); });
+  bench.Tick(4000, [](double) { return std::pair(1.0, 1.0); });
   EXPECT_EQ(bench.Level("a"), 0) << "held for a while";
-  bench.Pass(3000, [](double) { return std::pair(1.0, 1.0); });
+  bench.Tick(3000, [](double) { return std::pair(1.0, 1.0); });
   EXPECT_GT(bench.Level("a"), 0);
   EXPECT_LT(bench.Level("a"), 1) << "in steps";
-  bench.Pass(10000, [](double) { return std::pair(1.0, 1.0); });
+  bench.Tick(10000, [](double) { return std::pair(1.0, 1.0); });
   EXPECT_EQ(bench.Level("a"), 1);
   EXPECT_EQ(bench.falls, 1);
 }
 
 // A zone that does well while it gets little and badly as soon as it gets more: an hour of it.
-TEST(ZoneJudge, TriesAGrayZoneMoreAndMoreSeldom) {
+TEST(ZoneHealthEvaluator, TriesAGrayZoneMoreAndMoreSeldom) {
   Bench bench;
-  bench.Pass(1000, [](double) { return std::pair(1.0, 1.0); });
-  bench.Pass(3600000, [](double level) { return std::pair(1.0, level > 0.5 ? 0.2 : 1.0); });
+  bench.Tick(1000, [](double) { return std::pair(1.0, 1.0); });
+  bench.Tick(3600000, [](double level) { return std::pair(1.0, level > 0.5 ? 0.2 : 1.0); });
   std::printf("falls in an hour: %d\n", bench.falls);
   EXPECT_GT(bench.falls, 3) << "it is tried";
   EXPECT_LE(bench.falls, 20);
-  bench.Pass(400000, [](double) { return std::pair(1.0, 1.0); });
+  bench.Tick(400000, [](double) { return std::pair(1.0, 1.0); });
   EXPECT_EQ(bench.Level("a"), 1) << "and comes back in the end";
 }
 
-TEST(ZoneJudge, SaysNothingWhileItHearsOfNoMoreThanHalf) {
-  ZoneJudge judge(3, {});
+TEST(ZoneHealthEvaluator, SaysNothingWhileItHearsOfNoMoreThanHalf) {
+  ZoneHealthEvaluator judge(3, {});
   for (Millis now = 1000; now < 5000; now += 100) {
-    judge.See(now, 0, {"a", 100, {{"a", 4, 0, 100, 0}}});
-    EXPECT_FALSE(judge.Wants(now, {{"a", 1, 4, 100}}));
+    judge.OnLoadReport(now, 0, {"a", 100, {{"a", 4, 0, 100, 0}}});
+    EXPECT_FALSE(judge.Evaluate(now, {{"a", 1, 4, 100}}));
   }
 }
 
 // A gateway that is cut off keeps its clients: when it comes back they have their part of the room.
-TEST(ZoneJudge, CountsOnTheDemandOfThoseItCantHear) {
-  ZoneJudge judge(3, {});
+TEST(ZoneHealthEvaluator, CountsOnTheDemandOfThoseItCantHear) {
+  ZoneHealthEvaluator judge(3, {});
   std::vector<Zone> agreed;
   for (Millis now = 1000; now < 40000; now += 100) {
     for (int g = now < 3000 ? 0 : 1; g < 3; ++g) {
       const std::string zone(1, static_cast<char>('a' + g));
-      judge.See(now, g, {zone, 100, {{"a", 4, 4, 0, 0}, {"b", 4, 4, 0, 0}, {"c", 4, 4, 0, 0}}});
+      judge.OnLoadReport(now, g, {zone, 100, {{"a", 4, 4, 0, 0}, {"b", 4, 4, 0, 0}, {"c", 4, 4, 0, 0}}});
     }
-    if (auto next = judge.Wants(now, agreed)) judge.Agreed(now, agreed, *next), agreed = *next;
+    if (auto next = judge.Evaluate(now, agreed)) judge.OnAgreement(now, agreed, *next), agreed = *next;
   }
   ASSERT_EQ(agreed.size(), 3u);
   EXPECT_EQ(agreed[0].name, "a");
@@ -278,21 +280,22 @@
   static std::size_t At(int g) { return static_cast<std::size_t>(g); }
 
   void Start(int g) {
-    ZoneDuty::Times times;
+    ZoneStateCoordinator::Times times;
     times.lease = {800, 0.02, 100};
-    times.judge.hold = 1500;
+    times.evaluator.hold = 1500;
     known[At(g)] = {};
-    duties[At(g)] = std::make_unique<ZoneDuty>(
-        g, n, times, Clock(g), 1000 + static_cast<Token>(now),
-        ZoneDuty::Handlers{[this, g](int to, const DutyWord& word) { Post(g, to, word); },
-                           [this, g](const ZoneAgreement& state) { Adopted(g, state); }});
+    duties[At(g)] = std::make_unique<ZoneStateCoordinator>(
+        g, n, times, Clock(g), 1000 + static_cast<FencingToken>(now),
+        ZoneStateCoordinator::Handlers{
+            [this, g](int to, const CoordinationMessage& word) { Post(g, to, word); },
+            [this, g](const ZoneAgreement& state) { Adopted(g, state); }});
   }
-  void Post(int from, int to, const DutyWord& word) {
+  void Post(int from, int to, const CoordinationMessage& word) {
     ++words;
-    if (const auto* const vote = std::get_if<ZonesVote>(&word))
+    if (const auto* const vote = std::get_if<ZoneStateVote>(&word))
       votes[{vote->token, vote->version}].insert(from);
-    if (const auto* const w = std::get_if<ZonesWord>(&word);
-        w != nullptr && w->kind == ZonesWord::Kind::kOffer)
+    if (const auto* const w = std::get_if<ZoneStateAnnouncement>(&word);
+        w != nullptr && w->kind == ZoneStateAnnouncement::Kind::kProposed)
       votes[{w->state.term, w->state.version}].insert(from);
     if (Chance() < loss) return;
     under_way.push_back({now + 1 + delay * Chance(), from, to, word});
@@ -305,21 +308,21 @@
     if (!state.IsNewerThan(known[At(g)])) ++backwards;
     known[At(g)] = state;
   }
-  void Pass(Millis ms) {
+  void Tick(Millis ms) {
     for (const Millis until = now + ms; now < until; now += 10) {
       for (std::size_t i = 0; i < under_way.size(); ++i) {
         const auto [at, from, to, word] = under_way[i];
         if (at > now || gone_until[At(to)] > now) continue;  // what comes to a stopped one waits
         under_way.erase(under_way.begin() + static_cast<std::ptrdiff_t>(i--));
-        if (!cut(from, to)) duties[At(to)]->Hear(Clock(to), from, word);
+        if (!cut(from, to)) duties[At(to)]->OnMessage(Clock(to), from, word);
       }
       for (int g = 0; g < n; ++g) {
         if (gone_until[At(g)] > now || static_cast<int>(now / 10) % 10 != g % 10) continue;
-        const ZoneLoadReport own = See(g);
-        duties[At(g)]->Beat(Clock(g), Chance(), own);
+        const ZoneLoadReport own = OnLoadReport(g);
+        duties[At(g)]->Tick(Clock(g), Chance(), own);
         for (int to = 0; to < n; ++to) {
           if (to != g && !cut(g, to) && Chance() >= loss && gone_until[At(to)] <= now)
-            duties[At(to)]->See(Clock(to), g, own);
+            duties[At(to)]->OnLoadReport(Clock(to), g, own);
         }
       }
       int holders = 0;
@@ -328,7 +331,7 @@
       two += holders > 1;
     }
   }
-  ZoneLoadReport See(int g) const {
+  ZoneLoadReport OnLoadReport(int g) const {
     ZoneLoadReport sights{Home(g), 100, {}};
     for (const char* const zone : {"a", "b", "c"}) {
       const double fit = health.contains(zone) ? health.at(zone) : 1;
@@ -344,7 +347,7 @@
     }
     return 1;
   }
-  int Holder() const {
+  int Owner() const {
     for (int g = 0; g < n; ++g) {
       if (duties[At(g)]->Status(Clock(g))["holds"]) return g;
     }
@@ -363,7 +366,7 @@
   struct Letter {
     Millis at;
     int from, to;
-    DutyWord word;
+    CoordinationMessage word;
   };
   const int n;
   std::mt19937_64 random;
@@ -373,33 +376,33 @@
   std::map<std::string, double> health;
   std::vector<double> skew, ahead;
   std::vector<Millis> gone_until;
-  std::vector<std::unique_ptr<ZoneDuty>> duties;
+  std::vector<std::unique_ptr<ZoneStateCoordinator>> duties;
   std::vector<ZoneAgreement> known;
   std::vector<Letter> under_way;
-  std::map<std::pair<Token, std::uint64_t>, std::set<int>> votes;
-  std::map<std::pair<Token, std::uint64_t>, ZoneAgreement> contents;
+  std::map<std::pair<FencingToken, std::uint64_t>, std::set<int>> votes;
+  std::map<std::pair<FencingToken, std::uint64_t>, ZoneAgreement> contents;
   int unagreed = 0, unlike = 0, backwards = 0, two = 0;
   std::uint64_t words = 0;
 };
 
-TEST(ZoneDuty, AllMoveTogetherAndComeBackTogether) {
+TEST(ZoneStateCoordinator, AllMoveTogetherAndComeBackTogether) {
   for (const int n : {3, 5, 9, 30, 100}) {
     Net net(n, 7);
-    net.Pass(3000);
+    net.Tick(3000);
     ASSERT_TRUE(net.Alike()) << n;
     ASSERT_GT(net.known[0].term, 0u) << n;
     net.health["a"] = 0;
     const std::uint64_t before = net.words;
     Millis took = 0;
-    while (took < 3000 && (!net.Alike() || net.Level(0, "a") > 0)) net.Pass(10), took += 10;
+    while (took < 3000 && (!net.Alike() || net.Level(0, "a") > 0)) net.Tick(10), took += 10;
     EXPECT_LE(took, 1000) << n;
-    net.Pass(1000);
+    net.Tick(1000);
     std::printf("%d gateways: moved in %.0f ms; %.1f words a gateway and second\n", n, took,
                 static_cast<double>(net.words - before) / n / (1 + took / 1000));
     EXPECT_TRUE(net.Alike());
     EXPECT_EQ(net.Level(0, "b"), 1);
     net.health["a"] = 1;
-    net.Pass(20000);
+    net.Tick(20000);
     EXPECT_TRUE(net.Alike());
     EXPECT_EQ(net.Level(n - 1, "a"), 1);
     net.ExpectRules();
@@ -407,47 +410,47 @@
 }
 
 // A quorum lost in the middle of a failover; two zones that fail one after the other.
-TEST(ZoneDuty, WhoIsCutOffKeepsToTheLastThatWasAgreed) {
+TEST(ZoneStateCoordinator, WhoIsCutOffKeepsToTheLastThatWasAgreed) {
   Net net(5, 3);
-  net.Pass(3000);
+  net.Tick(3000);
   net.health["a"] = 0;
-  net.Pass(200);  // seen, not yet agreed on
+  net.Tick(200);  // seen, not yet agreed on
   net.cut = [](int a, int b) { return a != b; };
-  net.Pass(5000);
+  net.Tick(5000);
   for (int g = 0; g < 5; ++g) EXPECT_EQ(net.Level(g, "a"), 1) << "nobody could agree on it";
   net.cut = [](int a, int b) { return (a < 2) != (b < 2); };
-  net.Pass(4000);
+  net.Tick(4000);
   for (int g = 0; g < 5; ++g) EXPECT_EQ(net.Level(g, "a"), g < 2 ? 1 : 0) << g;
   net.health["b"] = 0;
-  net.Pass(2000);
+  net.Tick(2000);
   for (int g = 0; g < 5; ++g) EXPECT_EQ(net.Level(g, "b"), g < 2 ? 1 : 0) << g;
   net.cut = [](int, int) { return false; };
-  net.Pass(3000);
+  net.Tick(3000);
   EXPECT_TRUE(net.Alike()) << "all know what was agreed meanwhile";
   net.ExpectRules();
 }
 
 // Whoever takes the duty over goes on from the newest that any had agreed on, though it was not told of it.
-TEST(ZoneDuty, AHolderThatIsBehindIsToldBetter) {
+TEST(ZoneStateCoordinator, AHolderThatIsBehindIsToldBetter) {
   Net net(3, 5);
-  net.Pass(3000);
-  const int holder = net.Holder(), other = (holder + 1) % 3, third = (holder + 2) % 3;
+  net.Tick(3000);
+  const int holder = net.Owner(), other = (holder + 1) % 3, third = (holder + 2) % 3;
   net.cut = [=](int a, int b) { return a == other || b == other; };
   const std::string zone = Net::Home(third);  // which goes on seeing it
   net.health[zone] = 0;
-  net.Pass(1000);
+  net.Tick(1000);
   ASSERT_EQ(net.Level(third, zone), 0);
   ASSERT_EQ(net.Level(other, zone), 1);
   net.gone_until[Net::At(holder)] = net.now + 60000;
   net.cut = [](int, int) { return false; };
-  net.Pass(4000);
+  net.Tick(4000);
   EXPECT_EQ(net.Level(other, zone), 0);
   EXPECT_TRUE(net.known[Net::At(other)] == net.known[Net::At(third)]);
   net.ExpectRules();
 }
 
 // Anything, at random: losses, delays, stops, restarts, cuts both ways and one way, zones that come and go.
-TEST(ZoneDuty, KeepsItsRulesWhateverHappens) {
+TEST(ZoneStateCoordinator, KeepsItsRulesWhateverHappens) {
   constexpr int kRuns = 60;
   int moved = 0;
   for (std::uint64_t seed = 1; seed <= kRuns; ++seed) {
@@ -466,12 +469,12 @@
         case 3: net.cut = [](int, int) { return false; }; break;
         default: net.health[Net::Home(g)] = 0.25 * static_cast<double>(net.random() % 5); break;
       }
-      net.Pass(1500 * net.Chance());
+      net.Tick(1500 * net.Chance());
     }
     net.loss = 0, net.delay = 5, net.health.clear();
     net.cut = [](int, int) { return false; };
     for (Millis& until : net.gone_until) until = 0;
-    net.Pass(5000);
+    net.Tick(5000);
     EXPECT_TRUE(net.Alike());
     moved += net.known[0].version > 2;
     net.ExpectRules();
@@ -481,9 +484,9 @@
 }
 
 // The referee of these tests finds one that does not wait for votes.
-TEST(ZoneDuty, ThatGoesByItsOwnOfferIsFoundOut) {
+TEST(ZoneStateCoordinator, ThatGoesByItsOwnOfferIsFoundOut) {
   Net net(3, 1);
-  net.Pass(3000);
+  net.Tick(3000);
   net.cut = [](int a, int b) { return a != b; };
   net.Adopted(0, {net.known[0].term + 256, net.known[0].version + 1, {{"a", 0, 4, 100}}});
   EXPECT_EQ(net.unagreed, 1);
