--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -15,9 +15,9 @@
 #include "app/service.hpp"
 #include "config/config.hpp"
 #include "log/log.hpp"
-#include "operations/handover.hpp"
-#include "operations/live_settings.hpp"
-#include "operations/state_text.hpp"
+#include "operations/handover_channel.hpp"
+#include "operations/handover_state.hpp"
+#include "operations/settings_reloader.hpp"
 
 namespace meadowyard::app {
 namespace {
@@ -30,19 +30,20 @@
 }
 
 // A file that was turned down is still there for the next version to find: it goes on with the one in force.
-config::Configuration Configure(const std::optional<GatewayState>& state) {
+config::Configuration Configure(const std::optional<operations::HandoverState>& state) {
   if (!state) return config::LoadConfiguration(Variable);
   try {
     config::Configuration config = config::LoadConfiguration(Variable);
     // The environment is that of the first start; the process before this one has followed the file since.
-    if (config.document->value("discovery", "") == state->discovery) {
-      config.discovery_address = discovery::ParseAddress(state->discovery).value_or(config.discovery_address);
+    if (config.document->value("discovery", "") == state->discovery_address) {
+      config.discovery_address =
+          discovery::ParseAddress(state->discovery_address).value_or(config.discovery_address);
     }
     return config;
   } catch (const ConfigurationError& error) {
     log::Write(log::Level::kWarn, "configuration_kept",
                {{"text", "going on with the configuration in force"}, {"why", error.what()}});
-    return config::ParseConfiguration(nlohmann::json::parse(state->file), Variable);
+    return config::ParseConfiguration(nlohmann::json::parse(state->configuration), Variable);
   }
 }
 
@@ -60,15 +61,15 @@
 
 // The same for the operators' file.
 std::shared_ptr<const EdgeConfig> ConfigureEdge(const std::string& path,
-                                                const std::optional<GatewayState>& state) {
+                                                const std::optional<operations::HandoverState>& state) {
   if (path.empty()) return nullptr;
   try {
     return std::make_shared<const EdgeConfig>(LoadEdge(path));
   } catch (const EdgeError& error) {
-    if (!state || state->edge.empty()) throw;
+    if (!state || state->edge_configuration.empty()) throw;
     log::Write(log::Level::kWarn, "edge_kept",
                {{"text", "going on with the file in force"}, {"why", error.what()}});
-    return std::make_shared<const EdgeConfig>(ParseEdge(path, state->edge));
+    return std::make_shared<const EdgeConfig>(ParseEdge(path, state->edge_configuration));
   }
 }
 
@@ -81,26 +82,26 @@
   EmergencyMemoryReserve::Install();
   boost::asio::io_context io(1);
   boost::asio::signal_set ends(io, SIGTERM, SIGINT), reloads(io, SIGHUP);
-  auto inheritance = AskPredecessor(FindPredecessor());
-  const auto state = inheritance ? ParseState(inheritance->state) : std::nullopt;
-  if (!state) inheritance.reset();
+  auto predecessor = operations::RequestPredecessorState(FindPredecessor());
+  const auto state = predecessor ? operations::ParseHandoverState(predecessor->state) : std::nullopt;
+  if (!state) predecessor.reset();
   const config::Configuration config = Configure(state);
-  Service service(io, config, std::move(inheritance), state, ConfigureEdge(edge, state));
+  Service service(io, config, std::move(predecessor), state, ConfigureEdge(edge, state));
   const auto load_peers = [&peers, &config] {
     const char* const name = Variable("NODE_NAME");
     return membership::LoadPeers(peers, name != nullptr ? name : config.document->value("name", ""));
   };
   if (!peers.empty()) service.KnowPeers(load_peers());
-  LiveSettings settings(VariableAtReload, config,
-                        {[&](const config::Configuration& changed) {
-                           service.Reload(changed);
-                           log::Write(log::Level::kDebug, "configuration_loaded");
-                         },
-                         [&](const std::string& why) {
-                           log::Write(log::Level::kWarn, "configuration_kept",
-                                      {{"text", "configuration not reloaded"}, {"why", why}});
-                           service.KeptSettings();
-                         }});
+  operations::SettingsReloader settings(VariableAtReload, config,
+                                        {[&](const config::Configuration& changed) {
+                                           service.Reload(changed);
+                                           log::Write(log::Level::kDebug, "configuration_loaded");
+                                         },
+                                         [&](const std::string& why) {
+                                           log::Write(log::Level::kWarn, "configuration_kept",
+                                                      {{"text", "configuration not reloaded"}, {"why", why}});
+                                           service.KeptSettings();
+                                         }});
   ends.async_wait([&](const boost::system::error_code& ec, int) {
     if (!ec) service.Stop([&] { io.stop(); });
   });
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -50,8 +50,8 @@
 }  // namespace
 
 Service::Service(asio::io_context& io, const config::Configuration& config,
-                 std::optional<Inheritance> inheritance, std::optional<GatewayState> state,
-                 std::shared_ptr<const EdgeConfig> edge)
+                 std::optional<operations::PredecessorState> predecessor,
+                 std::optional<operations::HandoverState> state, std::shared_ptr<const EdgeConfig> edge)
     : clock_(io),
       config_(config),
       file_(config.document),
@@ -85,7 +85,7 @@
       ask_again_(io),
       clients_(io,
                {config.listen_address, config.admin_address.has_value(),
-                inheritance ? inheritance->listener.release() : -1},
+                predecessor ? predecessor->client_listener.release() : -1},
                LimitsFor(budget_),
                {[this] { return listed_ && !stopping_; }, &EmergencyMemoryReserve::IsAvailable,
                 [this](const std::string& name, Idempotency effect) {
@@ -98,31 +98,32 @@
                 [this](const std::string& id) { core_.OnClientDisconnected(id); }}) {
   if (edge_file_) {
     std::map<std::string, int> doors;
-    if (inheritance) {
-      for (auto& [key, socket] : inheritance->doors) doors[key] = socket.release();
+    if (predecessor) {
+      for (auto& [key, socket] : predecessor->tunnel_listeners) doors[key] = socket.release();
     }
     edge_.emplace(io, clock_, edge_file_, settings_, config.connect_timeout, config.seed, FleetForTunnels(),
                   doors);
   }
   if (config.admin_address) {
     admin_.emplace(
-        io, *config.admin_address, AdminServer::Limits(),
-        AdminServer::Handlers{
+        io, *config.admin_address, operations::AdminServer::Limits(),
+        operations::AdminServer::Handlers{
             [this] { return listed_ && !stopping_; },
             [this] { return core_.metrics().ToJson(core_.policy().CollectStats()); },
             [this](const std::string& host, bool out) { return Maintain(host, out); },
             [this] { return edge_ ? std::optional(edge_->front().Status().dump()) : std::nullopt; },
             [this](std::uint64_t id) { return edge_ && edge_->front().CloseOne(id); },
             [this] { return peers_.Status(core_.policy().CollectStats()); }});
-    succession_.emplace(io, config.handover_path, inheritance ? std::move(inheritance->link) : Descriptor(),
-                        SuccessionHandlers());
+    hot_restart_.emplace(io, config.handover_path,
+                         predecessor ? std::move(predecessor->channel) : operations::Descriptor(),
+                         HotRestartHandlers());
   }
   Told(state ? state->hosts : config.known_endpoints);
   if (state) core_.Report(std::move(state->learned));
   if (!settings_.polls_endpoints) peers_.Watch();
 }
 
-Succession::Handlers Service::SuccessionHandlers() {
+operations::HotRestartCoordinator::Handlers Service::HotRestartHandlers() {
   return {
       [this] { return StateText(); },
       [this] { return clients_.listener(); },
@@ -130,29 +131,31 @@
       [this] { HandOver(); },
       [this] { TakeBack(); },
       [this](std::size_t others) { Share(others); },
-      [this](std::string_view unread, Descriptor socket) { clients_.Adopt(socket.release(), unread); },
-      [this](const std::string& host, const asio::ip::tcp::endpoint& address, Descriptor socket) {
+      [this](std::string_view unread, operations::Descriptor socket) {
+        clients_.Adopt(socket.release(), unread);
+      },
+      [this](const std::string& host, const asio::ip::tcp::endpoint& address, operations::Descriptor socket) {
         hosts_.Adopt(host, address, socket.release());
       },
       [this](const std::string& host, bool out) { Maintained(host, out); },
       [this] { return edge_ ? edge_->front().listeners() : std::vector<std::pair<std::string, int>>(); },
-      [this](std::string_view text, Descriptor client, Descriptor host) {
+      [this](std::string_view text, operations::Descriptor client, operations::Descriptor host) {
         if (edge_) edge_->front().Adopt(client.release(), host.release(), text);
       },
   };
 }
 
 std::string Service::StateText() {
-  GatewayState state;
-  state.file = file_->dump();
-  state.discovery = discovery::FormatAddress(discovery_.address());
+  operations::HandoverState state;
+  state.configuration = file_->dump();
+  state.discovery_address = discovery::FormatAddress(discovery_.address());
   state.revision_known = discovery_.revision().has_value();
   state.hosts.revision = discovery_.revision().value_or(0);
   for (const auto& [id, host] : list_) state.hosts.endpoints.push_back(host);
   state.learned = core_.policy().Snapshot();
-  if (edge_) state.edge = edge_->config().text;
+  if (edge_) state.edge_configuration = edge_->config().text;
   state.descriptors = clients_.sessions() + hosts_.connections() + kOwnSockets;
-  return ToText(state);
+  return operations::SerializeHandoverState(state);
 }
 
 void Service::KnowPeers(membership::PeersConfig peers) {
@@ -176,14 +179,15 @@
 
 void Service::HandOver() {
   peers_.Close();
-  clients_.HandOver(
-      [this](int socket, std::string_view unread) { return succession_->PassClient(socket, unread); });
+  clients_.HandOver([this](int socket, std::string_view unread) {
+    return hot_restart_->PassClientConnection(socket, unread);
+  });
   hosts_.PassIdle([this](const std::string& host, const asio::ip::tcp::endpoint& address, int socket) {
-    return succession_->PassHost(host, address, socket);
+    return hot_restart_->PassHostConnection(host, address, socket);
   });
   if (!edge_) return;
   edge_->front().HandOver([this](int client, int host, std::string_view text) {
-    return succession_->PassTunnel(text, client, host);
+    return hot_restart_->PassTunnel(text, client, host);
   });
 }
 
@@ -247,7 +251,7 @@
 bool Service::Maintain(const std::string& host, bool out) {
   if (!core_.policy().IsKnown(host) && !(edge_ && edge_->Knows(host))) return false;
   Maintained(host, out);
-  succession_->Maintained(host, out);
+  hot_restart_->ReplicateMaintenance(host, out);
   return true;
 }
 
@@ -275,7 +279,7 @@
   listed_ = listed_ || !list.endpoints.empty();
   core_.Report(ToNews(list));
   if (edge_) edge_->front().HostsChanged();
-  if (listed_ && succession_) succession_->Serve();
+  if (listed_ && hot_restart_) hot_restart_->StartServing();
 }
 
 void Service::ListFailed() {
@@ -325,7 +329,7 @@
     after(times.answer - times.serve, fail_rest);
   };
   // The next process takes what comes; here only what was taken is finished.
-  if (succession_ && succession_->succeeded()) {
+  if (hot_restart_ && hot_restart_->successor_serving()) {
     clients_.Drain(done);
     if (edge_) edge_->front().Drain(done);
     return after(times.answer, fail_rest);
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -21,8 +21,8 @@
 #include "discovery/discovery.hpp"
 #include "fronts/http/client_server.hpp"
 #include "operations/admin_server.hpp"
-#include "operations/state_text.hpp"
-#include "operations/succession.hpp"
+#include "operations/handover_state.hpp"
+#include "operations/hot_restart_coordinator.hpp"
 #include "upstream/host_pool.hpp"
 #include "upstream/tunnel_dialer.hpp"
 
@@ -37,8 +37,8 @@
       : Service(io, config, {}, {}, std::move(edge)) {}
   // Follows another process: begins with what that one knows, and at its listening socket.
   Service(boost::asio::io_context& io, const config::Configuration& config,
-          std::optional<Inheritance> inheritance, std::optional<GatewayState> state,
-          std::shared_ptr<const EdgeConfig> edge = nullptr);
+          std::optional<operations::PredecessorState> predecessor,
+          std::optional<operations::HandoverState> state, std::shared_ptr<const EdgeConfig> edge = nullptr);
 
   boost::asio::ip::tcp::endpoint address() const { return clients_.address(); }
 
@@ -72,7 +72,7 @@
   bool Maintain(const std::string& host, bool out);
   // The same without telling the other process.
   void Maintained(const std::string& host, bool out);
-  Succession::Handlers SuccessionHandlers();
+  operations::HotRestartCoordinator::Handlers HotRestartHandlers();
   std::string StateText();
   // The next process serves: everything that is idle goes there.
   void HandOver();
@@ -113,8 +113,8 @@
   boost::asio::steady_timer ask_again_;
   ClientServer clients_;
   std::optional<EdgeService> edge_;
-  std::optional<AdminServer> admin_;
-  std::optional<Succession> succession_;
+  std::optional<operations::AdminServer> admin_;
+  std::optional<operations::HotRestartCoordinator> hot_restart_;
 };
 
 }  // namespace meadowyard::app
--- a/src/operations/admin_server.hpp
+++ b/src/operations/admin_server.hpp
@@ -15,25 +15,26 @@
 
 #include "http/messages.hpp"
 #include "meadowyard/policy.hpp"
-#include "operations/handover.hpp"
+#include "operations/handover_channel.hpp"
 
-namespace meadowyard {
+namespace meadowyard::operations {
 
 class AdminServer {
  public:
   struct Limits {
-    std::size_t places = 16;   // callers at once; the oldest makes room for a new one
-    Millis whole_call = 2000;  // a call must have come whole by then
-    Millis linger = 300;       // a caller that was answered gets this to close first
+    std::size_t max_sessions = 16;  // callers at once; the oldest makes room for a new one
+    Millis request_timeout = 2000;  // a call must have come whole by then
+    Millis linger_timeout = 300;    // a caller that was answered gets this to close first
   };
   struct Handlers {
-    std::function<bool()> ready;
-    std::function<std::string()> figures;  // as JSON
+    std::function<bool()> is_ready;
+    std::function<std::string()> metrics_json;  // as JSON
     // Leaves a host out or puts it back; false if nobody has this id.
-    std::function<bool(const std::string& host, bool out)> maintain;
-    std::function<std::optional<std::string>()> tunnels;  // as JSON; nothing where there are none to be had
-    std::function<bool(std::uint64_t id)> close_tunnel;   // false if there is none of this number
-    std::function<std::optional<std::string>()> peers = {};  // the same
+    std::function<bool(const std::string& host, bool out)> change_maintenance;
+    std::function<std::optional<std::string>()>
+        tunnels_json;                                    // as JSON; nothing where there are none to be had
+    std::function<bool(std::uint64_t id)> close_tunnel;  // false if there is none of this number
+    std::function<std::optional<std::string>()> peers_json = {};  // the same
   };
 
   // Listens at once. Throws boost::system::system_error if it can't.
@@ -44,24 +45,24 @@
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
  private:
-  class Call;
+  class Session;
   void Accept();
-  void KeepSpare();
-  void Take(boost::asio::ip::tcp::socket socket);
+  void KeepSpareDescriptor();
+  void StartSession(boost::asio::ip::tcp::socket socket);
   HttpResponse Handle(const HttpRequest& request);
-  HttpResponse Maintain(const std::string& query, bool out);
-  HttpResponse Shown(const std::function<std::optional<std::string>()>& what) const;
+  HttpResponse ChangeMaintenance(const std::string& query, bool out);
+  HttpResponse JsonReplyIfAny(const std::function<std::optional<std::string>()>& what) const;
   HttpResponse Tunnels(const std::string& query, bool close);
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer accept_again_;
+  boost::asio::steady_timer accept_retry_;
   const Limits limits_;
   const Handlers handlers_;
-  Descriptor spare_;                        // given up for a call that comes when there is none to be had
-  std::list<std::shared_ptr<Call>> calls_;  // the oldest first
+  Descriptor spare_descriptor_;  // given up for a call that comes when there is none to be had
+  std::list<std::shared_ptr<Session>> sessions_;  // the oldest first
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::operations
 
 #endif  // MEADOWYARD_ADMIN_SERVER_HPP_
--- a/src/operations/handover.cpp
+++ b/src/operations/handover_channel.cpp
@@ -1,4 +1,4 @@
-#include "operations/handover.hpp"
+#include "operations/handover_channel.hpp"
 
 #include <poll.h>
 #include <sys/socket.h>
@@ -14,13 +14,13 @@
 
 #include "core/clock.hpp"
 
-namespace meadowyard {
+namespace meadowyard::operations {
 namespace {
 
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-constexpr Millis kAskWithin = 3000;  // the platform gives a new process 6 s to serve
+constexpr Millis kStateTimeout = 3000;  // the platform gives a new process 6 s to serve
 
 // Only processes of the same user may take a gateway over.
 bool SameUser(int link) {
@@ -42,7 +42,7 @@
   if (fd_ >= 0) ::close(fd_);
 }
 
-bool SendMessage(int link, Message::Kind kind, std::string_view text, int descriptor, int second) {
+bool SendMessage(int link, HandoverMessage::Kind kind, std::string_view text, int descriptor, int second) {
   char mark = static_cast<char>(kind);
   iovec parts[2] = {{&mark, 1}, {const_cast<char*>(text.data()), text.size()}};
   msghdr message{};
@@ -63,8 +63,8 @@
   return ::sendmsg(link, &message, MSG_NOSIGNAL | MSG_DONTWAIT) >= 0;
 }
 
-std::optional<Message> ReceiveMessage(int link, bool& ended) {
-  std::vector<char> text(kMostMessage + 1);
+std::optional<HandoverMessage> ReceiveMessage(int link, bool& ended) {
+  std::vector<char> text(kMaxMessageText + 1);
   iovec part = {text.data(), text.size()};
   msghdr message{};
   message.msg_iov = &part;
@@ -77,8 +77,8 @@
     ended = got == 0 || (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR);
     return std::nullopt;
   }
-  Message received;
-  received.kind = static_cast<Message::Kind>(text[0]);
+  HandoverMessage received;
+  received.kind = static_cast<HandoverMessage::Kind>(text[0]);
   received.text.assign(text.data() + 1, static_cast<std::size_t>(got - 1));
   const cmsghdr* const head = CMSG_FIRSTHDR(&message);
   if (head != nullptr && head->cmsg_type == SCM_RIGHTS) {
@@ -86,12 +86,12 @@
     std::memcpy(both, CMSG_DATA(head),
                 std::min(sizeof both, static_cast<std::size_t>(head->cmsg_len - CMSG_LEN(0))));
     received.descriptor = Descriptor(both[0]);
-    received.second = Descriptor(both[1]);
+    received.second_descriptor = Descriptor(both[1]);
   }
   return received;
 }
 
-struct Link::State : std::enable_shared_from_this<State> {
+struct HandoverChannel::State : std::enable_shared_from_this<State> {
   State(asio::io_context& io, Descriptor fd) : socket(io, fd.release()) {}
 
   void Wait() {
@@ -117,25 +117,25 @@
   Handlers handlers;
 };
 
-Link::Link(asio::io_context& io, Descriptor socket)
+HandoverChannel::HandoverChannel(asio::io_context& io, Descriptor socket)
     : state_(std::make_shared<State>(io, std::move(socket))) {}
 
-Link::~Link() {
+HandoverChannel::~HandoverChannel() {
   error_code ignored;
   state_->socket.close(ignored);
 }
 
-void Link::Listen(Handlers handlers) {
+void HandoverChannel::Listen(Handlers handlers) {
   state_->handlers = std::move(handlers);
   state_->Wait();
 }
 
-bool Link::Send(Message::Kind kind, std::string_view text, int descriptor, int second) {
+bool HandoverChannel::Send(HandoverMessage::Kind kind, std::string_view text, int descriptor, int second) {
   return state_->socket.is_open() &&
          SendMessage(state_->socket.native_handle(), kind, text, descriptor, second);
 }
 
-std::optional<Inheritance> AskPredecessor(const std::string& path) {
+std::optional<PredecessorState> RequestPredecessorState(const std::string& path) {
   if (path.empty()) return std::nullopt;
   Descriptor link(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
   const sockaddr_un address = Address(path);
@@ -143,34 +143,35 @@
       !SameUser(link.get())) {
     return std::nullopt;
   }
-  Inheritance inheritance;
-  for (const Millis until = core::Now() + kAskWithin; core::Now() < until;) {
+  PredecessorState predecessor;
+  for (const Millis until = core::Now() + kStateTimeout; core::Now() < until;) {
     pollfd wait = {link.get(), POLLIN, 0};
     ::poll(&wait, 1, static_cast<int>(std::max(1.0, until - core::Now())));
     bool ended = false;
     while (auto message = ReceiveMessage(link.get(), ended)) {
-      if (message->kind == Message::Kind::kDoor) {
-        inheritance.doors[message->text] = std::move(message->descriptor);
+      if (message->kind == HandoverMessage::Kind::kTunnelListener) {
+        predecessor.tunnel_listeners[message->text] = std::move(message->descriptor);
         continue;
       }
-      if (message->descriptor) inheritance.listener = std::move(message->descriptor);
-      inheritance.state += message->text;
-      if (message->kind != Message::Kind::kEnd) continue;
-      if (!inheritance.listener) return std::nullopt;
-      inheritance.link = std::move(link);
-      return inheritance;
+      if (message->descriptor) predecessor.client_listener = std::move(message->descriptor);
+      predecessor.state += message->text;
+      if (message->kind != HandoverMessage::Kind::kStateComplete) continue;
+      if (!predecessor.client_listener) return std::nullopt;
+      predecessor.channel = std::move(link);
+      return predecessor;
     }
     if (ended) return std::nullopt;
   }
   return std::nullopt;
 }
 
-HandoverServer::HandoverServer(asio::io_context& io, std::string path, std::function<void(Descriptor)> asked)
+SuccessorListener::SuccessorListener(asio::io_context& io, std::string path,
+                                     std::function<void(Descriptor)> asked)
     : path_(std::move(path)), asked_(std::move(asked)), listener_(io) {}
 
-HandoverServer::~HandoverServer() = default;
+SuccessorListener::~SuccessorListener() = default;
 
-bool HandoverServer::Listen() {
+bool SuccessorListener::Listen() {
   const std::string made = path_ + ".new";
   ::unlink(made.c_str());
   Descriptor socket(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
@@ -187,12 +188,12 @@
   return !ec;
 }
 
-void HandoverServer::Close() {
+void SuccessorListener::Close() {
   error_code ignored;
   listener_.close(ignored);
 }
 
-void HandoverServer::Accept() {
+void SuccessorListener::Accept() {
   listener_.async_wait(asio::posix::stream_descriptor::wait_read, [this](error_code ec) {
     if (ec || !listener_.is_open()) return;
     Descriptor link(::accept4(listener_.native_handle(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK));
@@ -201,4 +202,4 @@
   });
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::operations
--- a/src/operations/state_text.cpp
+++ b/src/operations/handover_state.cpp
@@ -1,11 +1,11 @@
-#include "operations/state_text.hpp"
+#include "operations/handover_state.hpp"
 
 #include <nlohmann/json.hpp>
 #include <tuple>
 
 #include "operations/stored_record.hpp"
 
-namespace meadowyard {
+namespace meadowyard::operations {
 
 using nlohmann::json;
 
@@ -71,34 +71,34 @@
   };
 };
 
-std::string ToText(const GatewayState& state) {
-  const json whole = {{"file", state.file},
-                      {"discovery", state.discovery},
+std::string SerializeHandoverState(const HandoverState& state) {
+  const json whole = {{"file", state.configuration},
+                      {"discovery", state.discovery_address},
                       {"hosts", discovery::SerializeEndpointList(state.hosts)},
                       {"revision_known", state.revision_known},
                       {"learned", state.learned},
                       {"descriptors", state.descriptors},
-                      {"edge", state.edge}};
+                      {"edge", state.edge_configuration}};
   return whole.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-std::optional<GatewayState> ParseState(const std::string& text) {
+std::optional<HandoverState> ParseHandoverState(const std::string& text) {
   try {
     const json whole = json::parse(text);
-    GatewayState state;
-    state.file = whole.at("file").get<std::string>();
-    state.discovery = whole.at("discovery").get<std::string>();
+    HandoverState state;
+    state.configuration = whole.at("file").get<std::string>();
+    state.discovery_address = whole.at("discovery").get<std::string>();
     const auto hosts = discovery::ParseEndpointList(whole.at("hosts").get<std::string>());
     if (!hosts) return std::nullopt;
     state.hosts = *hosts;
     state.revision_known = whole.at("revision_known").get<bool>();
     state.learned = whole.at("learned").get<LearnedState>();
     state.descriptors = whole.at("descriptors").get<std::size_t>();
-    state.edge = whole.value("edge", "");
+    state.edge_configuration = whole.value("edge", "");
     return state;
   } catch (const json::exception&) {
     return std::nullopt;
   }
 }
 
-}  // namespace meadowyard
+}  // namespace meadowyard::operations
--- a/src/operations/state_text.hpp
+++ b/src/operations/handover_state.hpp
@@ -9,22 +9,22 @@
 #include "discovery/discovery.hpp"
 #include "meadowyard/policy.hpp"
 
-namespace meadowyard {
+namespace meadowyard::operations {
 
-struct GatewayState {
-  std::string file;               // the configuration in force
-  std::string discovery;          // its address
+struct HandoverState {
+  std::string configuration;      // the configuration in force
+  std::string discovery_address;  // its address
   discovery::EndpointList hosts;  // as discovery told them
   bool revision_known = false;
   LearnedState learned;
-  std::size_t descriptors = 0;  // that the process holds
-  std::string edge;             // the operators' file in force; empty: none
+  std::size_t descriptors = 0;     // that the process holds
+  std::string edge_configuration;  // the operators' file in force; empty: none
 };
 
-std::string ToText(const GatewayState& state);
+std::string SerializeHandoverState(const HandoverState& state);
 // Nothing if the text is broken, or of a version that says less.
-std::optional<GatewayState> ParseState(const std::string& text);
+std::optional<HandoverState> ParseHandoverState(const std::string& text);
 
-}  // namespace meadowyard
+}  // namespace meadowyard::operations
 
 #endif  // MEADOWYARD_STATE_TEXT_HPP_
--- a/src/operations/succession.hpp
+++ b/src/operations/hot_restart_coordinator.hpp
@@ -13,11 +13,11 @@
 #include <utility>
 #include <vector>
 
-#include "operations/handover.hpp"
+#include "operations/handover_channel.hpp"
 
-namespace meadowyard {
+namespace meadowyard::operations {
 
-class Succession {
+class HotRestartCoordinator {
  public:
   struct Handlers {
     std::function<std::string()> state;       // what the next process is to know
@@ -34,38 +34,39 @@
     std::function<void(std::string_view text, Descriptor client, Descriptor host)> tunnel;
   };
   // `path` is empty where there is no next process to wait for; `before` is the link to the one before.
-  Succession(boost::asio::io_context& io, const std::string& path, Descriptor before, Handlers handlers);
+  HotRestartCoordinator(boost::asio::io_context& io, const std::string& path, Descriptor before,
+                        Handlers handlers);
 
   // This process serves: tells the one before, and can be found by the next.
-  void Serve();
+  void StartServing();
   // The next process serves; until it does, or once it has ended, this one does.
-  bool succeeded() const { return succeeded_; }
+  bool successor_serving() const { return successor_serving_; }
 
   // To the next process; false if it can't be passed now.
-  bool PassClient(int socket, std::string_view unread);
-  bool PassHost(const std::string& host, const boost::asio::ip::tcp::endpoint& address, int socket);
+  bool PassClientConnection(int socket, std::string_view unread);
+  bool PassHostConnection(const std::string& host, const boost::asio::ip::tcp::endpoint& address, int socket);
   bool PassTunnel(std::string_view text, int client, int host);
   // An operator of this process left a host out or put it back.
-  void Maintained(const std::string& host, bool out);
+  void ReplicateMaintenance(const std::string& host, bool out);
 
  private:
-  void Asked(Descriptor socket);
-  void FromBefore(Message message);
-  void FromNext(Message message);
-  void NextEnded();
-  void TellHeld();
-  void Mirror(Link* link, const std::string& host, bool out);
+  void OnSuccessorConnected(Descriptor socket);
+  void OnPredecessorMessage(HandoverMessage message);
+  void OnSuccessorMessage(HandoverMessage message);
+  void OnSuccessorClosed();
+  void SendDescriptorCount();
+  void SendMaintenance(HandoverChannel* link, const std::string& host, bool out);
 
   boost::asio::io_context& io_;
   const Handlers handlers_;
-  std::unique_ptr<Link> before_, next_;
-  HandoverServer server_;
-  const bool may_be_followed_;
-  boost::asio::steady_timer tell_;
+  std::unique_ptr<HandoverChannel> predecessor_, successor_;
+  SuccessorListener server_;
+  const bool may_have_successor_;
+  boost::asio::steady_timer descriptor_count_timer_;
   bool serving_ = false;
-  bool succeeded_ = false;
+  bool successor_serving_ = false;
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::operations
 
 #endif  // MEADOWYARD_SUCCESSION_HPP_
--- a/src/operations/stored_record.hpp
+++ b/src/operations/stored_record.hpp
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <tuple>
 
-namespace meadowyard {
+namespace meadowyard::operations {
 
 /// One field of a record: the name in the stored form, which never changes, and the member that holds the
 /// value.
@@ -29,21 +29,23 @@
   StoredForm<Record>::kFields;
 };
 
-}  // namespace meadowyard
+}  // namespace meadowyard::operations
 
 /// Converts every StoredRecord to and from JSON. Reading throws nlohmann::json::exception if a field is
 /// missing or of another type; fields that the table doesn't name are ignored.
-template <meadowyard::StoredRecord Record>
+template <meadowyard::operations::StoredRecord Record>
 struct nlohmann::adl_serializer<Record> {
   static void to_json(json& stored, const Record& record) {  // NOLINT(readability-identifier-naming): library
     stored = json::object();
     const auto write = [&](const auto& field) { stored[field.name] = record.*field.member; };
-    std::apply([&](const auto&... field) { (write(field), ...); }, meadowyard::StoredForm<Record>::kFields);
+    std::apply([&](const auto&... field) { (write(field), ...); },
+               meadowyard::operations::StoredForm<Record>::kFields);
   }
   static void from_json(const json& stored,
                         Record& record) {  // NOLINT(readability-identifier-naming): library
     const auto read = [&](const auto& field) { stored.at(field.name).get_to(record.*field.member); };
-    std::apply([&](const auto&... field) { (read(field), ...); }, meadowyard::StoredForm<Record>::kFields);
+    std::apply([&](const auto&... field) { (read(field), ...); },
+               meadowyard::operations::StoredForm<Record>::kFields);
   }
 };
 
--- a/tests/operations/admin_test.cpp
+++ b/tests/operations/admin_test.cpp
@@ -9,10 +9,8 @@
 namespace meadowyard::testing {
 namespace {
 
-using meadowyard::AdminServer;
-
 struct Listener {
-  explicit Listener(AdminServer::Limits limits = AdminServer::Limits())
+  explicit Listener(operations::AdminServer::Limits limits = operations::AdminServer::Limits())
       : server(io, Loopback(), limits,
                {[this] { return ready; }, [] { return std::string("{}"); },
                 [this](const std::string& host, bool out) {
@@ -29,7 +27,7 @@
   asio::io_context io;
   bool ready = true;
   std::vector<std::pair<std::string, bool>> maintained;
-  AdminServer server;
+  operations::AdminServer server;
 };
 
 // Guards what operators' tools rely on: which calls are a yes, and that each kind of mistake is a no.
@@ -63,9 +61,9 @@
 
 // Guards operators against callers who say nothing or half a call: they make room, and none stays for long.
 TEST(AdminServer, AnswersBesideCallersWhoSayNothing) {
-  AdminServer::Limits limits;
-  limits.places = 4;
-  limits.whole_call = 60000;
+  operations::AdminServer::Limits limits;
+  limits.max_sessions = 4;
+  limits.request_timeout = 60000;
   Listener listener(limits);
   std::vector<std::unique_ptr<Client>> silent;
   for (int i = 0; i < 12; ++i) {
@@ -79,8 +77,8 @@
 }
 
 TEST(AdminServer, EndsHalfACall) {
-  AdminServer::Limits limits;
-  limits.whole_call = 1;
+  operations::AdminServer::Limits limits;
+  limits.request_timeout = 1;
   Listener listener(limits);
   Client half(listener.io, listener.server.address());
   half.Send("GET /sta");
--- a/tests/operations/handover_format_test.cpp
+++ b/tests/operations/handover_format_test.cpp
@@ -24,13 +24,14 @@
 #include <vector>
 
 #include "config/config.hpp"
-#include "operations/handover.hpp"
-#include "operations/state_text.hpp"
-#include "operations/succession.hpp"
+#include "operations/handover_channel.hpp"
+#include "operations/handover_state.hpp"
+#include "operations/hot_restart_coordinator.hpp"
 
 namespace meadowyard::testing {
 namespace {
 
+using Kind = operations::HandoverMessage::Kind;
 using nlohmann::json;
 using tcp = boost::asio::ip::tcp;
 
@@ -126,15 +127,15 @@
 }
 
 // What the fixture holds, in the members that hold it today.
-GatewayState FixtureState() {
-  GatewayState state;
-  state.file = R"({"seed":"1f","settings":{"zone":"a"}})";
-  state.discovery = "127.0.0.1:4001";
+operations::HandoverState FixtureState() {
+  operations::HandoverState state;
+  state.configuration = R"({"seed":"1f","settings":{"zone":"a"}})";
+  state.discovery_address = "127.0.0.1:4001";
   state.hosts = FixtureHosts();
   state.revision_known = true;
   state.learned = FixtureLearnedState();
   state.descriptors = 321;
-  state.edge =
+  state.edge_configuration =
       "# operators\n[tunnels]\nmost = 10\n\n[[listen]]\nname = \"a \\\"b\\\"\"\taddress = '127.0.0.1:9'\n";
   return state;
 }
@@ -188,7 +189,7 @@
 // Guards what a process learned against a change of version: each field that ff1d420 wrote is read into the
 // member that means the same today.
 TEST(HandoverFormat, ReadsTheLearnedStateOfFf1d420) {
-  const auto state = ParseState(StateFixture());
+  const auto state = operations::ParseHandoverState(StateFixture());
   ASSERT_TRUE(state);
   const LearnedState& read = state->learned;
   const LearnedState expected = FixtureLearnedState();
@@ -209,14 +210,14 @@
 
 // The same of what a process knows besides: its configuration, the list of hosts and its descriptors.
 TEST(HandoverFormat, ReadsTheHostsAndFilesOfFf1d420) {
-  const auto read = ParseState(StateFixture());
+  const auto read = operations::ParseHandoverState(StateFixture());
   ASSERT_TRUE(read);
-  const GatewayState expected = FixtureState();
-  EXPECT_EQ(read->file, expected.file);
-  EXPECT_EQ(read->discovery, expected.discovery);
+  const operations::HandoverState expected = FixtureState();
+  EXPECT_EQ(read->configuration, expected.configuration);
+  EXPECT_EQ(read->discovery_address, expected.discovery_address);
   EXPECT_EQ(read->revision_known, expected.revision_known);
   EXPECT_EQ(read->descriptors, expected.descriptors);
-  EXPECT_EQ(read->edge, expected.edge);
+  EXPECT_EQ(read->edge_configuration, expected.edge_configuration);
   EXPECT_EQ(read->hosts.revision, expected.hosts.revision);
   EXPECT_EQ(read->hosts.is_snapshot, expected.hosts.is_snapshot);
   ASSERT_EQ(read->hosts.endpoints.size(), expected.hosts.endpoints.size());
@@ -238,10 +239,10 @@
 // Guards the way back: ff1d420 reads what it would have written itself.
 TEST(HandoverFormat, WritesTheSameBytesAsFf1d420) {
   const std::string fixture = StateFixture();
-  EXPECT_EQ(ToText(FixtureState()), fixture);
-  const auto state = ParseState(fixture);
+  EXPECT_EQ(operations::SerializeHandoverState(FixtureState()), fixture);
+  const auto state = operations::ParseHandoverState(fixture);
   ASSERT_TRUE(state);
-  EXPECT_EQ(ToText(*state), fixture);
+  EXPECT_EQ(operations::SerializeHandoverState(*state), fixture);
 }
 
 std::set<std::string> Names(const json& object) {
@@ -252,7 +253,7 @@
 
 // Guards the stored names by themselves, so that a new one is seen here too.
 TEST(HandoverFormat, StoresEachFieldUnderItsOwnName) {
-  const json stored = json::parse(ToText(FixtureState()));
+  const json stored = json::parse(operations::SerializeHandoverState(FixtureState()));
   using Set = std::set<std::string>;
   EXPECT_EQ(Names(stored),
             (Set{"file", "discovery", "hosts", "revision_known", "learned", "descriptors", "edge"}));
@@ -284,10 +285,10 @@
     json lacking = whole;
     lacking.at(field.parent_pointer()).erase(field.back());
     const bool may_be_missing = field.to_string() == "/edge";
-    EXPECT_EQ(ParseState(lacking.dump()).has_value(), may_be_missing);
+    EXPECT_EQ(operations::ParseHandoverState(lacking.dump()).has_value(), may_be_missing);
     json mistyped = whole;
     mistyped.at(field) = json::object({{"other", "type"}});
-    EXPECT_FALSE(ParseState(mistyped.dump()));
+    EXPECT_FALSE(operations::ParseHandoverState(mistyped.dump()));
   }
 }
 
@@ -297,9 +298,9 @@
   later["later"] = 1;
   later["learned"]["later"] = {1, 2};
   later["learned"]["servers"][0]["later"] = "x";
-  const auto state = ParseState(later.dump());
+  const auto state = operations::ParseHandoverState(later.dump());
   ASSERT_TRUE(state);
-  EXPECT_EQ(ToText(*state), StateFixture());
+  EXPECT_EQ(operations::SerializeHandoverState(*state), StateFixture());
 }
 
 // ---- The messages on the link --------------------------------------------------------------------
@@ -308,11 +309,11 @@
   SocketPair() {
     int both[2] = {-1, -1};
     EXPECT_EQ(::socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0, both), 0);
-    ours = Descriptor(both[0]);
-    theirs = Descriptor(both[1]);
+    ours = operations::Descriptor(both[0]);
+    theirs = operations::Descriptor(both[1]);
   }
-  Descriptor ours;
-  Descriptor theirs;
+  operations::Descriptor ours;
+  operations::Descriptor theirs;
 };
 
 // One packet as it is on the link.
@@ -356,15 +357,21 @@
 }
 
 struct KindOnTheLink {
-  Message::Kind kind;
+  Kind kind;
   char letter;
 };
 
 constexpr KindOnTheLink kKinds[] = {
-    {Message::Kind::kState, 'S'},  {Message::Kind::kEnd, 'E'},  {Message::Kind::kReady, 'R'},
-    {Message::Kind::kClient, 'C'}, {Message::Kind::kHost, 'H'}, {Message::Kind::kHeld, 'D'},
-    {Message::Kind::kOut, 'O'},    {Message::Kind::kBack, 'B'}, {Message::Kind::kDoor, 'L'},
-    {Message::Kind::kTunnel, 'T'},
+    {Kind::kState, 'S'},
+    {Kind::kStateComplete, 'E'},
+    {Kind::kSuccessorReady, 'R'},
+    {Kind::kClientConnection, 'C'},
+    {Kind::kHostConnection, 'H'},
+    {Kind::kDescriptorsHeld, 'D'},
+    {Kind::kMaintenanceStarted, 'O'},
+    {Kind::kMaintenanceEnded, 'B'},
+    {Kind::kTunnelListener, 'L'},
+    {Kind::kTunnel, 'T'},
 };
 
 // Guards the framing: a packet is the kind's letter and the text, nothing else, with the descriptors beside
@@ -375,9 +382,9 @@
     SCOPED_TRACE(letter);
     SocketPair link;
     SocketPair passed;
-    ASSERT_TRUE(SendMessage(link.ours.get(), kind, text));
-    ASSERT_TRUE(SendMessage(link.ours.get(), kind, "", passed.ours.get()));
-    ASSERT_TRUE(SendMessage(link.ours.get(), kind, text, passed.ours.get(), passed.theirs.get()));
+    ASSERT_TRUE(operations::SendMessage(link.ours.get(), kind, text));
+    ASSERT_TRUE(operations::SendMessage(link.ours.get(), kind, "", passed.ours.get()));
+    ASSERT_TRUE(operations::SendMessage(link.ours.get(), kind, text, passed.ours.get(), passed.theirs.get()));
     const Packet plain = ReceivePacket(link.theirs.get());
     EXPECT_EQ(plain.bytes, letter + text);
     EXPECT_TRUE(plain.descriptors.empty());
@@ -404,25 +411,25 @@
     ASSERT_EQ(::send(link.ours.get(), packet.data(), packet.size(), 0), static_cast<ssize_t>(packet.size()));
     ASSERT_EQ(::send(link.ours.get(), &letter, 1, 0), 1);
     bool ended = false;
-    const auto message = ReceiveMessage(link.theirs.get(), ended);
+    const auto message = operations::ReceiveMessage(link.theirs.get(), ended);
     ASSERT_TRUE(message);
     EXPECT_EQ(message->kind, kind);
     EXPECT_EQ(message->text, "10.0.0.1:80 web 1");
     EXPECT_FALSE(message->descriptor);
-    EXPECT_FALSE(message->second);
-    const auto empty = ReceiveMessage(link.theirs.get(), ended);
+    EXPECT_FALSE(message->second_descriptor);
+    const auto empty = operations::ReceiveMessage(link.theirs.get(), ended);
     ASSERT_TRUE(empty);
     EXPECT_EQ(empty->kind, kind);
     EXPECT_EQ(empty->text, "");
-    EXPECT_FALSE(ReceiveMessage(link.theirs.get(), ended));
+    EXPECT_FALSE(operations::ReceiveMessage(link.theirs.get(), ended));
     EXPECT_FALSE(ended);
-    link.ours = Descriptor();
-    EXPECT_FALSE(ReceiveMessage(link.theirs.get(), ended));
+    link.ours = operations::Descriptor();
+    EXPECT_FALSE(operations::ReceiveMessage(link.theirs.get(), ended));
     EXPECT_TRUE(ended);
   }
 }
 
-TEST(HandoverFormat, TakesMessagesOfSeventyTwoKibibytes) { EXPECT_EQ(kMostMessage, 73728u); }
+TEST(HandoverFormat, TakesMessagesOfSeventyTwoKibibytes) { EXPECT_EQ(operations::kMaxMessageText, 73728u); }
 
 // Guards the place where versions find each other.
 TEST(HandoverFormat, NamesTheSocketAfterTheListener) {
@@ -437,7 +444,7 @@
 
 // What one process is told by the other one, a line each.
 struct Recorder {
-  Succession::Handlers Handlers() {
+  operations::HotRestartCoordinator::Handlers Handlers() {
     const auto note = [this](std::string line) { lines.push_back(std::move(line)); };
     return {
         .state = [this] { return state; },
@@ -446,11 +453,12 @@
         .succeeded = [note] { note("succeeded"); },
         .abandoned = [note] { note("abandoned"); },
         .others = [note](std::size_t count) { note("others " + std::to_string(count)); },
-        .client = [note](
-                      std::string_view unread,
-                      Descriptor socket) { note("client " + std::string(unread) + (socket ? " +1" : "")); },
+        .client =
+            [note](std::string_view unread, operations::Descriptor socket) {
+              note("client " + std::string(unread) + (socket ? " +1" : ""));
+            },
         .host =
-            [note](const std::string& host, const tcp::endpoint& address, Descriptor socket) {
+            [note](const std::string& host, const tcp::endpoint& address, operations::Descriptor socket) {
               note("host " + host + " at " + discovery::FormatAddress(address) + (socket ? " +1" : ""));
             },
         .maintained = [note](const std::string& host, bool out) { note((out ? "out " : "back ") + host); },
@@ -460,7 +468,7 @@
                                                               {"second", listener.get()}};
             },
         .tunnel =
-            [note](std::string_view text, Descriptor client, Descriptor host) {
+            [note](std::string_view text, operations::Descriptor client, operations::Descriptor host) {
               note("tunnel " + std::string(text) + (client && host ? " +2" : ""));
             }};
   }
@@ -473,7 +481,7 @@
   }
 
   std::string state;
-  Descriptor listener{::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)};
+  operations::Descriptor listener{::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)};
   std::vector<std::string> lines;
 };
 
@@ -489,8 +497,8 @@
   std::string path;
 };
 
-Descriptor Connect(const std::string& path) {
-  Descriptor link(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
+operations::Descriptor Connect(const std::string& path) {
+  operations::Descriptor link(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
   std::memcpy(address.sun_path, path.data(), path.size());
@@ -515,15 +523,15 @@
   boost::asio::io_context io;
   TemporaryFolder folder;
   Recorder recorder;
-  const std::string piece(kMostMessage, 's');
+  const std::string piece(operations::kMaxMessageText, 's');
   recorder.state = piece + piece + "rest";
   const std::string path = config::HandoverSocketPath(folder.path, "x");
-  Succession succession(io, path, Descriptor(), recorder.Handlers());
-  succession.Serve();
+  operations::HotRestartCoordinator coordinator(io, path, operations::Descriptor(), recorder.Handlers());
+  coordinator.StartServing();
   struct stat status {};
   ASSERT_EQ(::stat(path.c_str(), &status), 0);
   EXPECT_EQ(status.st_mode & 07777, 0600u);
-  const Descriptor link = Connect(path);
+  const operations::Descriptor link = Connect(path);
   io.run_one_for(std::chrono::seconds(30));
   ExpectPacket(link.get(), "S" + piece, 1);
   ExpectPacket(link.get(), "S" + piece, 0);
@@ -536,11 +544,11 @@
   EXPECT_EQ(recorder.lines[0], "succeeded");
   ExpectPacket(link.get(), "D7", 0);
   const SocketPair passed;
-  EXPECT_TRUE(succession.PassClient(passed.ours.get(), "GET / HT"));
-  EXPECT_TRUE(succession.PassHost("web 1", Address("10.0.0.1", 80), passed.ours.get()));
-  EXPECT_TRUE(succession.PassTunnel("{\"a\":1}", passed.ours.get(), passed.theirs.get()));
-  succession.Maintained("web-1", true);
-  succession.Maintained("web-1", false);
+  EXPECT_TRUE(coordinator.PassClientConnection(passed.ours.get(), "GET / HT"));
+  EXPECT_TRUE(coordinator.PassHostConnection("web 1", Address("10.0.0.1", 80), passed.ours.get()));
+  EXPECT_TRUE(coordinator.PassTunnel("{\"a\":1}", passed.ours.get(), passed.theirs.get()));
+  coordinator.ReplicateMaintenance("web-1", true);
+  coordinator.ReplicateMaintenance("web-1", false);
   ExpectPacket(link.get(), "CGET / HT", 1);
   ExpectPacket(link.get(), "H10.0.0.1:80 web 1", 1);
   ExpectPacket(link.get(), "T{\"a\":1}", 2);
@@ -558,23 +566,25 @@
   boost::asio::io_context io;
   Recorder recorder;
   SocketPair link;
-  Succession succession(io, "", std::move(link.theirs), recorder.Handlers());
-  succession.Serve();
+  operations::HotRestartCoordinator coordinator(io, "", std::move(link.theirs), recorder.Handlers());
+  coordinator.StartServing();
   ExpectPacket(link.ours.get(), "R", 0);
-  succession.Maintained("web-1", true);
-  succession.Maintained("web-1", false);
+  coordinator.ReplicateMaintenance("web-1", true);
+  coordinator.ReplicateMaintenance("web-1", false);
   ExpectPacket(link.ours.get(), "Oweb-1", 0);
   ExpectPacket(link.ours.get(), "Bweb-1", 0);
   for (const char* const packet : {"D321", "Oweb-2", "Bweb-2", "Znever heard of", "Hno-space", "D0"}) {
     SendPacket(link.ours.get(), packet);
   }
   const SocketPair passed;
-  ASSERT_TRUE(SendMessage(link.ours.get(), Message::Kind::kClient, "GET /", passed.ours.get()));
-  ASSERT_TRUE(SendMessage(link.ours.get(), Message::Kind::kHost, "[::1]:80 web 1", passed.ours.get()));
-  ASSERT_TRUE(SendMessage(link.ours.get(), Message::Kind::kHost, "10.0.0.1:80 web 1", passed.ours.get()));
+  ASSERT_TRUE(operations::SendMessage(link.ours.get(), Kind::kClientConnection, "GET /", passed.ours.get()));
+  ASSERT_TRUE(
+      operations::SendMessage(link.ours.get(), Kind::kHostConnection, "[::1]:80 web 1", passed.ours.get()));
+  ASSERT_TRUE(operations::SendMessage(link.ours.get(), Kind::kHostConnection, "10.0.0.1:80 web 1",
+                                      passed.ours.get()));
   ASSERT_TRUE(
-      SendMessage(link.ours.get(), Message::Kind::kTunnel, "{}", passed.ours.get(), passed.theirs.get()));
-  link.ours = Descriptor();
+      operations::SendMessage(link.ours.get(), Kind::kTunnel, "{}", passed.ours.get(), passed.theirs.get()));
+  link.ours = operations::Descriptor();
   ASSERT_TRUE(recorder.Wait(io, 8));
   const std::vector<std::string> expected = {"others 321",      "out web-2",
                                              "back web-2",      "others 0",
--- a/tests/operations/live_settings_test.cpp
+++ b/tests/operations/settings_reloader_test.cpp
@@ -1,5 +1,5 @@
 // Settings that change while the gateway serves: which files are taken, and what becomes of requests.
-#include "operations/live_settings.hpp"
+#include "operations/settings_reloader.hpp"
 
 #include <gtest/gtest.h>
 
@@ -20,7 +20,7 @@
             {"settings", TestSettings()}};
     Write(file.dump());
     settings.emplace(Variable(), meadowyard::config::LoadConfiguration(Variable()),
-                     meadowyard::LiveSettings::Handlers{
+                     operations::SettingsReloader::Handlers{
                          [this](const meadowyard::config::Configuration& config) { taken.push_back(config); },
                          [this](const std::string& why) { refused.push_back(why); }});
   }
@@ -35,12 +35,12 @@
   nlohmann::json file;
   std::vector<meadowyard::config::Configuration> taken;
   std::vector<std::string> refused;
-  std::optional<meadowyard::LiveSettings> settings;
+  std::optional<operations::SettingsReloader> settings;
 };
 
 // Guards a gateway in service against files that were cut short or mistyped: each is turned down whole, by
 // one line that names the field.
-TEST(LiveSettings, TurnDownAFileThatCannotBeRight) {
+TEST(SettingsReloader, RejectsAFileThatCannotBeRight) {
   Reloads reloads;
   const std::string whole = reloads.file.dump();
   const auto spoilt = [&](const char* path, const nlohmann::json& value) {
@@ -86,7 +86,7 @@
 }
 
 // Guards what may change: classes come and go, lists may be absent, and new keys are no fault.
-TEST(LiveSettings, TakeAFileWithOtherClasses) {
+TEST(SettingsReloader, AcceptsAFileWithOtherClasses) {
   Reloads reloads;
   nlohmann::json file = reloads.file;
   auto& classes = file["settings"]["categories"];
@@ -112,7 +112,7 @@
 
 // Guards requests over a change of their class: one that is open keeps the class it came under, a client that
 // still asks the old way is understood for a moment, and the new rules bind what asks the new way.
-TEST(LiveSettings, OpenRequestsKeepTheirClass) {
+TEST(SettingsReloader, KeepsTheClassOfOpenRequests) {
   World world(2);
   const auto open = world.Connect();
   open->Send(ApiCall("r1"));
