--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -15,8 +15,8 @@
 #include "app/service.hpp"
 #include "config/config.hpp"
 #include "log/log.hpp"
-#include "operations/handover_channel.hpp"
 #include "operations/handover_state.hpp"
+#include "operations/predecessor_state.hpp"
 #include "operations/settings_reloader.hpp"
 
 namespace meadowyard::app {
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -110,42 +110,21 @@
         operations::AdminServer::Handlers{
             [this] { return listed_ && !stopping_; },
             [this] { return core_.metrics().ToJson(core_.policy().CollectStats()); },
-            [this](const std::string& host, bool out) { return Maintain(host, out); },
+            [this](const std::string& host, bool out) {
+              return ChangeMaintenance({.host_id = host, .in_maintenance = out});
+            },
             [this] { return edge_ ? std::optional(edge_->front().Status().dump()) : std::nullopt; },
             [this](std::uint64_t id) { return edge_ && edge_->front().CloseOne(id); },
             [this] { return peers_.Status(core_.policy().CollectStats()); }});
     hot_restart_.emplace(io, config.handover_path,
-                         predecessor ? std::move(predecessor->channel) : operations::Descriptor(),
-                         HotRestartHandlers());
+                         predecessor ? std::move(predecessor->channel) : operations::Descriptor(), *this);
   }
   Told(state ? state->hosts : config.known_endpoints);
   if (state) core_.Report(std::move(state->learned));
   if (!settings_.polls_endpoints) peers_.Watch();
 }
 
-operations::HotRestartCoordinator::Handlers Service::HotRestartHandlers() {
-  return {
-      [this] { return StateText(); },
-      [this] { return clients_.listener(); },
-      [this] { return clients_.sessions() + hosts_.connections() + kOwnSockets; },
-      [this] { HandOver(); },
-      [this] { TakeBack(); },
-      [this](std::size_t others) { Share(others); },
-      [this](std::string_view unread, operations::Descriptor socket) {
-        clients_.Adopt(socket.release(), unread);
-      },
-      [this](const std::string& host, const asio::ip::tcp::endpoint& address, operations::Descriptor socket) {
-        hosts_.Adopt(host, address, socket.release());
-      },
-      [this](const std::string& host, bool out) { Maintained(host, out); },
-      [this] { return edge_ ? edge_->front().listeners() : std::vector<std::pair<std::string, int>>(); },
-      [this](std::string_view text, operations::Descriptor client, operations::Descriptor host) {
-        if (edge_) edge_->front().Adopt(client.release(), host.release(), text);
-      },
-  };
-}
-
-std::string Service::StateText() {
+std::string Service::SerializeState() {
   operations::HandoverState state;
   state.configuration = file_->dump();
   state.discovery_address = discovery::FormatAddress(discovery_.address());
@@ -154,7 +133,7 @@
   for (const auto& [id, host] : list_) state.hosts.endpoints.push_back(host);
   state.learned = core_.policy().Snapshot();
   if (edge_) state.edge_configuration = edge_->config().text;
-  state.descriptors = clients_.sessions() + hosts_.connections() + kOwnSockets;
+  state.descriptors = CountDescriptors();
   return operations::SerializeHandoverState(state);
 }
 
@@ -177,13 +156,40 @@
   return whole;
 }
 
-void Service::HandOver() {
+int Service::ClientListener() { return clients_.listener(); }
+
+std::vector<operations::TunnelListener> Service::TunnelListeners() {
+  std::vector<operations::TunnelListener> listeners;
+  if (!edge_) return listeners;
+  for (const auto& [name, descriptor] : edge_->front().listeners()) {
+    listeners.push_back({.name = name, .descriptor = descriptor});
+  }
+  return listeners;
+}
+
+std::size_t Service::CountDescriptors() { return clients_.sessions() + hosts_.connections() + kOwnSockets; }
+
+void Service::AdoptClientConnection(std::string_view unread, operations::Descriptor connection) {
+  clients_.Adopt(connection.release(), unread);
+}
+
+void Service::AdoptHostConnection(const operations::HostConnectionInfo& info,
+                                  operations::Descriptor connection) {
+  hosts_.Adopt(info.host_id, info.address, connection.release());
+}
+
+void Service::AdoptTunnel(std::string_view state, operations::Descriptor client,
+                          operations::Descriptor host) {
+  if (edge_) edge_->front().Adopt(client.release(), host.release(), state);
+}
+
+void Service::OnSuccessorServing() {
   peers_.Close();
   clients_.HandOver([this](int socket, std::string_view unread) {
-    return hot_restart_->PassClientConnection(socket, unread);
+    return hot_restart_->PassClientConnection(unread, socket);
   });
   hosts_.PassIdle([this](const std::string& host, const asio::ip::tcp::endpoint& address, int socket) {
-    return hot_restart_->PassHostConnection(host, address, socket);
+    return hot_restart_->PassHostConnection({.host_id = host, .address = address}, socket);
   });
   if (!edge_) return;
   edge_->front().HandOver([this](int client, int host, std::string_view text) {
@@ -191,15 +197,15 @@
   });
 }
 
-void Service::TakeBack() {
+void Service::OnSuccessorLost() {
   hosts_.PassIdle(nullptr);
   clients_.TakeBack();
   peers_.Open();
   if (edge_) edge_->front().TakeBack();
 }
 
-void Service::Share(std::size_t others) {
-  if (others == std::exchange(others_, others)) return;
+void Service::OnPredecessorDescriptors(std::size_t count) {
+  if (count == std::exchange(others_, count)) return;
   budget_ = ShareOut(MeansOf(config_, edge_file_.get()), others_);
   clients_.SetPlaces(budget_.client_sessions, budget_.usual_sessions);
   hosts_.SetMost(budget_.host_connections);
@@ -248,21 +254,22 @@
   core_.Configure(Fitted());
 }
 
-bool Service::Maintain(const std::string& host, bool out) {
-  if (!core_.policy().IsKnown(host) && !(edge_ && edge_->Knows(host))) return false;
-  Maintained(host, out);
-  hot_restart_->ReplicateMaintenance(host, out);
+bool Service::ChangeMaintenance(const operations::MaintenanceChange& change) {
+  const bool known = core_.policy().IsKnown(change.host_id) || (edge_ && edge_->Knows(change.host_id));
+  if (!known) return false;
+  OnMaintenanceChanged(change);
+  hot_restart_->ReplicateMaintenance(change);
   return true;
 }
 
-void Service::Maintained(const std::string& host, bool out) {
-  if (out) {
-    core_.Report(MaintenanceStarted{host});
-    hosts_.Rest(host);
+void Service::OnMaintenanceChanged(const operations::MaintenanceChange& change) {
+  if (change.in_maintenance) {
+    core_.Report(MaintenanceStarted{change.host_id});
+    hosts_.Rest(change.host_id);
   } else {
-    core_.Report(MaintenanceEnded{host});
+    core_.Report(MaintenanceEnded{change.host_id});
   }
-  if (edge_) edge_->Maintained(host, out);
+  if (edge_) edge_->Maintained(change.host_id, change.in_maintenance);
 }
 
 void Service::Told(const discovery::EndpointList& list) {
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -11,6 +11,8 @@
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
 #include <string>
+#include <string_view>
+#include <vector>
 
 #include "app/cluster_service.hpp"
 #include "app/edge_service.hpp"
@@ -23,12 +25,14 @@
 #include "operations/admin_server.hpp"
 #include "operations/handover_state.hpp"
 #include "operations/hot_restart_coordinator.hpp"
+#include "operations/hot_restart_delegate.hpp"
+#include "operations/predecessor_state.hpp"
 #include "upstream/host_pool.hpp"
 #include "upstream/tunnel_dialer.hpp"
 
 namespace meadowyard::app {
 
-class Service {
+class Service : public operations::HotRestartDelegate {
  public:
   // Listens and watches at once. Throws std::exception if the settings or the address can't work.
   // With an operators' file it takes tunnels too.
@@ -69,18 +73,25 @@
   void Stop(std::function<void()> done);
 
  private:
-  bool Maintain(const std::string& host, bool out);
-  // The same without telling the other process.
-  void Maintained(const std::string& host, bool out);
-  operations::HotRestartCoordinator::Handlers HotRestartHandlers();
-  std::string StateText();
-  // The next process serves: everything that is idle goes there.
-  void HandOver();
-  void TakeBack();
+  bool ChangeMaintenance(const operations::MaintenanceChange& change);
+
+  // operations::HotRestartDelegate
+  std::string SerializeState() override;
+  int ClientListener() override;
+  std::vector<operations::TunnelListener> TunnelListeners() override;
+  std::size_t CountDescriptors() override;
+  void OnSuccessorServing() override;
+  void OnSuccessorLost() override;
+  void OnPredecessorDescriptors(std::size_t count) override;
+  void AdoptClientConnection(std::string_view unread, operations::Descriptor connection) override;
+  void AdoptHostConnection(const operations::HostConnectionInfo& info,
+                           operations::Descriptor connection) override;
+  void AdoptTunnel(std::string_view state, operations::Descriptor client,
+                   operations::Descriptor host) override;
+  void OnMaintenanceChanged(const operations::MaintenanceChange& change) override;
+
   void ToldByDiscovery(const discovery::EndpointList& list);
   discovery::EndpointList WholeList() const;
-  // Shares the descriptors out anew: the process before this one still holds so many of them.
-  void Share(std::size_t others);
   void Told(const discovery::EndpointList& list);
   void ListFailed();
   // The settings in force for the core: with the room that there is, and the tunnels' class.
--- a/src/operations/admin_server.hpp
+++ b/src/operations/admin_server.hpp
@@ -15,7 +15,7 @@
 
 #include "http/messages.hpp"
 #include "meadowyard/policy.hpp"
-#include "operations/handover_channel.hpp"
+#include "operations/descriptor.hpp"
 
 namespace meadowyard::operations {
 
--- a/src/operations/handover_channel.hpp
+++ b/src/operations/handover_channel.hpp
@@ -1,110 +1,111 @@
-// The hand-over from one process to the next while clients are served: the way that both find each other, and
-// the messages and descriptors that pass between them. What is handed over is for others to say.
-#ifndef MEADOWYARD_HANDOVER_HPP_
-#define MEADOWYARD_HANDOVER_HPP_
+/// @file
+/// The channel between two processes of one gateway during a hot restart: messages, with file descriptors,
+/// over a Unix socket that keeps message boundaries. On the socket a message is one packet: the letter of its
+/// kind, then its text; descriptors are passed beside it. The two processes may run different versions of the
+/// program, so letters and texts never change.
+#ifndef MEADOWYARD_OPERATIONS_HANDOVER_CHANNEL_HPP_
+#define MEADOWYARD_OPERATIONS_HANDOVER_CHANNEL_HPP_
 
 #include <boost/asio/io_context.hpp>
-#include <boost/asio/posix/stream_descriptor.hpp>
 #include <cstddef>
 #include <functional>
-#include <map>
 #include <memory>
-#include <optional>
 #include <string>
 #include <string_view>
-#include <utility>
+
+#include "operations/descriptor.hpp"
 
 namespace meadowyard::operations {
 
-// An open descriptor, closed with its owner.
-class Descriptor {
- public:
-  Descriptor() = default;
-  explicit Descriptor(int fd) : fd_(fd) {}
-  Descriptor(Descriptor&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
-  Descriptor& operator=(Descriptor&& other) noexcept {
-    std::swap(fd_, other.fd_);
-    return *this;
-  }
-  ~Descriptor();
-
-  explicit operator bool() const { return fd_ >= 0; }
-  int get() const { return fd_; }
-  int release() { return std::exchange(fd_, -1); }
+/// What a message says. The values are the letters on the socket.
+enum class HandoverMessageKind : char {
+  /// To the successor: a piece of the state; the first one has the clients' listening socket.
+  kState = 'S',
+  /// To the successor: a listening socket for tunnels; the text names the listener.
+  kTunnelListener = 'L',
+  /// To the successor: the state and the listening sockets are complete.
+  kStateComplete = 'E',
+  /// To the predecessor: the successor serves.
+  kSuccessorReady = 'R',
+  /// To the successor: a client's connection; the text is what was read of its next request.
+  kClientConnection = 'C',
+  /// To the successor: an idle connection to a host; the text is a HostConnectionText.
+  kHostConnection = 'H',
+  /// To the successor: an open tunnel, with the client's descriptor and the host's.
+  kTunnel = 'T',
+  /// To the successor: how many descriptors the predecessor still holds, as a decimal number.
+  kDescriptorsHeld = 'D',
+  /// Both ways: an operator has put the host that the text names into maintenance.
+  kMaintenanceStarted = 'O',
+  /// Both ways: an operator has ended the maintenance of the host that the text names.
+  kMaintenanceEnded = 'B',
+};
 
- private:
-  int fd_ = -1;
+/// Longest text of a message, in bytes; the state is sent in pieces of this size. A tunnel's text has what is
+/// buffered in both directions, 32 KiB each, and some fields.
+inline constexpr std::size_t kMaxMessageText = 72 * 1024;
+
+/// A message to be sent. It owns nothing: descriptors are duplicated by the kernel and stay with the sender.
+struct OutgoingMessage {
+  HandoverMessageKind kind = HandoverMessageKind::kStateComplete;
+  std::string_view text = {};
+  int descriptor = -1;         ///< -1: none.
+  int second_descriptor = -1;  ///< Only beside a first one; -1: none.
 };
 
-struct HandoverMessage {
-  enum class Kind : char {
-    kState = 'S',  // old to new: a piece of what it knows; the first has the clients' listening socket
-    kStateComplete = 'E',       // old to new: the state is whole
-    kSuccessorReady = 'R',      // new to old: it serves
-    kClientConnection = 'C',    // old to new: a client's connection, with what was read of its next request
-    kHostConnection = 'H',      // old to new: an idle connection to a host, with that host's id and address
-    kDescriptorsHeld = 'D',     // old to new: how many descriptors it still holds
-    kMaintenanceStarted = 'O',  // both ways: a host was left out by hand, or put back
-    kMaintenanceEnded = 'B',
-    kTunnelListener = 'L',  // old to new: another listening socket, by what it is for
-    kTunnel = 'T',          // old to new: a tunnel, with the client's descriptor and the host's
-  };
-  Kind kind = Kind::kStateComplete;
+/// A message that was received, with the descriptors that came with it.
+struct IncomingMessage {
+  HandoverMessageKind kind = HandoverMessageKind::kStateComplete;
   std::string text;
-  Descriptor descriptor, second_descriptor;
+  Descriptor descriptor;         ///< Empty if none came.
+  Descriptor second_descriptor;  ///< Empty if none came.
 };
 
-constexpr std::size_t kMaxMessageText = 72 * 1024;  // longer texts go in pieces; a tunnel has two of 32 KiB
+/// Sends without waiting; false if the message can't be sent now.
+[[nodiscard]] bool SendMessage(int socket, const OutgoingMessage& message);
+
+/// What came of a call to ReceiveMessage.
+enum class ReceiveStatus {
+  kReceived,
+  kNothingPending,  ///< No message is there yet.
+  kClosed,          ///< The other process has closed the channel, or it failed.
+};
+
+/// The result of ReceiveMessage.
+struct ReceiveResult {
+  ReceiveStatus status = ReceiveStatus::kNothingPending;
+  IncomingMessage message;  ///< Valid only with kReceived.
+};
 
-// A message at once, without waiting; false if it can't be sent now.
-bool SendMessage(int link, HandoverMessage::Kind kind, std::string_view text, int descriptor = -1,
-                 int second = -1);
-// The next one, if there is any by now; nothing at the end of the link too, with `ended` set.
-std::optional<HandoverMessage> ReceiveMessage(int link, bool& ended);
+/// Receives the next message without waiting.
+[[nodiscard]] ReceiveResult ReceiveMessage(int socket);
 
-// One end of a link between two processes.
+/// One end of the channel, on an event loop. The loop's thread calls it and is called back.
 class HandoverChannel {
  public:
-  struct Handlers {
-    std::function<void(HandoverMessage)> got;
-    std::function<void()> ended;
+  /// What the owner is notified of. The channel may be destroyed from within either function.
+  struct Callbacks {
+    std::function<void(IncomingMessage)> on_message;
+    std::function<void()> on_closed;  ///< At most once; nothing else follows.
   };
+
+  /// Takes ownership of a connected socket.
   HandoverChannel(boost::asio::io_context& io, Descriptor socket);
+  HandoverChannel(const HandoverChannel&) = delete;
+  HandoverChannel& operator=(const HandoverChannel&) = delete;
+  /// Closes the socket; nothing is called back any more.
   ~HandoverChannel();
-  void Listen(Handlers handlers);
-  bool Send(HandoverMessage::Kind kind, std::string_view text, int descriptor = -1, int second = -1);
 
- private:
-  struct State;
-  const std::shared_ptr<State> state_;
-};
-
-struct PredecessorState {
-  std::string state;
-  Descriptor client_listener;                          // the clients'
-  std::map<std::string, Descriptor> tunnel_listeners;  // the tunnels', by what they are for
-  Descriptor channel;
-};
-// Asks the process that is found at `path`, if there is one and it answers in time. Waits for it.
-std::optional<PredecessorState> RequestPredecessorState(const std::string& path);
-
-// Waits for the next process.
-class SuccessorListener {
- public:
-  SuccessorListener(boost::asio::io_context& io, std::string path, std::function<void(Descriptor)> asked);
-  ~SuccessorListener();
-  // From now on the next process finds this one; false if it can't. Takes the place of whoever was found
-  // there.
-  bool Listen();
-  void Close();
+  /// Begins to receive. Call it once.
+  void Start(Callbacks callbacks);
+  /// Sends without waiting; false if the message can't be sent now or the channel is closed.
+  bool Send(const OutgoingMessage& message);
 
  private:
-  void Accept();
-  const std::string path_;
-  const std::function<void(Descriptor)> asked_;
-  boost::asio::posix::stream_descriptor listener_;
+  struct State;
+  const std::shared_ptr<State> state_;  // outlives the channel until its last wait has ended
 };
 
 }  // namespace meadowyard::operations
 
-#endif  // MEADOWYARD_HANDOVER_HPP_
+#endif  // MEADOWYARD_OPERATIONS_HANDOVER_CHANNEL_HPP_
--- a/src/operations/hot_restart_coordinator.cpp
+++ b/src/operations/hot_restart_coordinator.cpp
@@ -1,148 +1,168 @@
 #include "operations/hot_restart_coordinator.hpp"
 
-#include <cstdlib>
+#include <algorithm>
+#include <optional>
 #include <utility>
 
 #include "core/clock.hpp"
-#include "discovery/discovery.hpp"
 #include "log/log.hpp"
 
 namespace meadowyard::operations {
 namespace {
 
 using boost::system::error_code;
-using Kind = HandoverMessage::Kind;
+using Kind = HandoverMessageKind;
 
-constexpr Millis kDescriptorCountInterval = 100;  // from one count of descriptors to the next
+constexpr Millis kDescriptorCountInterval = 100;
 
 }  // namespace
 
 HotRestartCoordinator::HotRestartCoordinator(boost::asio::io_context& io, const std::string& path,
-                                             Descriptor before, Handlers handlers)
+                                             Descriptor predecessor, HotRestartDelegate& delegate)
     : io_(io),
-      handlers_(std::move(handlers)),
-      server_(io, path, [this](Descriptor socket) { OnSuccessorConnected(std::move(socket)); }),
+      delegate_(delegate),
+      listener_(io, path, [this](Descriptor connection) { OnSuccessorConnected(std::move(connection)); }),
       may_have_successor_(!path.empty()),
       descriptor_count_timer_(io) {
-  if (!before) return;
-  predecessor_ = std::make_unique<HandoverChannel>(io_, std::move(before));
-  predecessor_->Listen({[this](HandoverMessage message) { OnPredecessorMessage(std::move(message)); },
-                        [this] {
-                          predecessor_.reset();
-                          handlers_.others(0);
-                        }});
+  if (!predecessor) return;
+  predecessor_ = std::make_unique<HandoverChannel>(io_, std::move(predecessor));
+  predecessor_->Start(
+      {.on_message = [this](IncomingMessage message) { OnPredecessorMessage(std::move(message)); },
+       .on_closed = [this] { OnPredecessorClosed(); }});
 }
 
 void HotRestartCoordinator::StartServing() {
   if (std::exchange(serving_, true)) return;
-  if (predecessor_) predecessor_->Send(Kind::kSuccessorReady, "");
-  if (may_have_successor_ && !server_.Listen()) {
-    log::Write(log::Level::kWarn, "handover_unreachable",
-               {{"text", "the next version will not find this one in $TMPDIR"}});
+  if (predecessor_) predecessor_->Send({.kind = Kind::kSuccessorReady});
+  if (may_have_successor_ && !listener_.Listen()) {
+    log::Write(log::Level::kWarn, "hot_restart_unavailable", {{"reason", "listen_failed"}});
   }
 }
 
-// One at a time: a second one that asks meanwhile is told nothing and starts on its own.
-void HotRestartCoordinator::OnSuccessorConnected(Descriptor socket) {
-  if (successor_) return;
-  const std::string state = handlers_.state();
-  std::string_view rest = state;
-  bool sent = true;
-  for (int listener = handlers_.listener(); sent && !rest.empty(); listener = -1) {
-    sent = SendMessage(socket.get(), Kind::kState, rest.substr(0, kMaxMessageText), listener);
-    rest.remove_prefix(std::min(rest.size(), kMaxMessageText));
-  }
-  for (const auto& [key, door] :
-       handlers_.doors ? handlers_.doors() : std::vector<std::pair<std::string, int>>()) {
-    sent = sent && SendMessage(socket.get(), Kind::kTunnelListener, key, door);
+// ---- The predecessor -----------------------------------------------------------------------------
+
+void HotRestartCoordinator::OnPredecessorMessage(IncomingMessage message) {
+  switch (message.kind) {
+    case Kind::kClientConnection:
+      return delegate_.AdoptClientConnection(message.text, std::move(message.descriptor));
+    case Kind::kHostConnection:
+      if (const auto info = ParseHostConnection(message.text)) {
+        delegate_.AdoptHostConnection(*info, std::move(message.descriptor));
+      }
+      return;
+    case Kind::kTunnel:
+      return delegate_.AdoptTunnel(message.text, std::move(message.descriptor),
+                                   std::move(message.second_descriptor));
+    case Kind::kDescriptorsHeld:
+      return delegate_.OnPredecessorDescriptors(ParseDescriptorCount(message.text));
+    case Kind::kMaintenanceStarted:
+    case Kind::kMaintenanceEnded:
+      if (const auto change = ToMaintenanceChange(message)) {
+        delegate_.OnMaintenanceChanged(*change);
+        SendToSuccessor(ToMessage(*change));
+      }
+      return;
+    default: return;  // of a later version
   }
-  if (!sent || !SendMessage(socket.get(), Kind::kStateComplete, "")) {
-    log::Write(log::Level::kWarn, "handover_failed",
-               {{"text", "could not tell the next version what this one knows"}});
+}
+
+void HotRestartCoordinator::OnPredecessorClosed() {
+  predecessor_.reset();
+  delegate_.OnPredecessorDescriptors(0);
+}
+
+// ---- The successor -------------------------------------------------------------------------------
+
+// One at a time: another process that connects meanwhile gets nothing and starts without a predecessor.
+void HotRestartCoordinator::OnSuccessorConnected(Descriptor connection) {
+  if (successor_) return;
+  if (!SendState(connection.get())) {
+    log::Write(log::Level::kWarn, "hot_restart_failed", {{"reason", "state_not_sent"}});
     return;
   }
-  successor_ = std::make_unique<HandoverChannel>(io_, std::move(socket));
-  successor_->Listen({[this](HandoverMessage message) { OnSuccessorMessage(std::move(message)); },
-                      [this] { OnSuccessorClosed(); }});
+  successor_ = std::make_unique<HandoverChannel>(io_, std::move(connection));
+  successor_->Start({.on_message = [this](const IncomingMessage& message) { OnSuccessorMessage(message); },
+                     .on_closed = [this] { OnSuccessorClosed(); }});
 }
 
-void HotRestartCoordinator::OnPredecessorMessage(HandoverMessage message) {
-  switch (message.kind) {
-    case Kind::kClientConnection: return handlers_.client(message.text, std::move(message.descriptor));
-    case Kind::kHostConnection: {
-      const std::size_t space = message.text.find(' ');
-      const auto address = discovery::ParseAddress(message.text.substr(0, space));
-      if (!address || space == std::string::npos) return;
-      return handlers_.host(message.text.substr(space + 1), *address, std::move(message.descriptor));
-    }
-    case Kind::kTunnel:
-      return handlers_.tunnel(message.text, std::move(message.descriptor),
-                              std::move(message.second_descriptor));
-    case Kind::kDescriptorsHeld: return handlers_.others(std::strtoul(message.text.c_str(), nullptr, 10));
-    case Kind::kMaintenanceStarted:
-    case Kind::kMaintenanceEnded: {
-      const bool out = message.kind == Kind::kMaintenanceStarted;
-      handlers_.maintained(message.text, out);
-      return SendMaintenance(successor_.get(), message.text, out);
+bool HotRestartCoordinator::SendState(int connection) {
+  const std::string state = delegate_.SerializeState();
+  int client_listener = delegate_.ClientListener();  // with the first piece only
+  for (std::size_t sent = 0; sent < state.size(); sent += kMaxMessageText) {
+    const std::string_view piece = std::string_view(state).substr(sent, kMaxMessageText);
+    if (!SendMessage(connection, {.kind = Kind::kState, .text = piece, .descriptor = client_listener})) {
+      return false;
     }
-    default: return;
+    client_listener = -1;
+  }
+  for (const TunnelListener& listener : delegate_.TunnelListeners()) {
+    const OutgoingMessage message = {
+        .kind = Kind::kTunnelListener, .text = listener.name, .descriptor = listener.descriptor};
+    if (!SendMessage(connection, message)) return false;
   }
+  return SendMessage(connection, {.kind = Kind::kStateComplete});
 }
 
-void HotRestartCoordinator::OnSuccessorMessage(HandoverMessage message) {
-  if (message.kind == Kind::kSuccessorReady && !successor_serving_) {
-    successor_serving_ = true;
-    server_.Close();
-    log::Write(log::Level::kInfo, "succeeded", {{"text", "the next version serves"}});
-    handlers_.succeeded();
-    SendDescriptorCount();
-  } else if (message.kind == Kind::kMaintenanceStarted || message.kind == Kind::kMaintenanceEnded) {
-    const bool out = message.kind == Kind::kMaintenanceStarted;
-    handlers_.maintained(message.text, out);
-    SendMaintenance(predecessor_.get(), message.text, out);
-  }
+void HotRestartCoordinator::OnSuccessorMessage(const IncomingMessage& message) {
+  if (message.kind == Kind::kSuccessorReady) return OnSuccessorReady();
+  const auto change = ToMaintenanceChange(message);
+  if (!change) return;  // of a later version
+  delegate_.OnMaintenanceChanged(*change);
+  if (predecessor_) predecessor_->Send(ToMessage(*change));
+}
+
+void HotRestartCoordinator::OnSuccessorReady() {
+  if (std::exchange(successor_serving_, true)) return;
+  listener_.Close();
+  log::Write(log::Level::kInfo, "hot_restart_completed");
+  delegate_.OnSuccessorServing();
+  SendDescriptorCount();
 }
 
 void HotRestartCoordinator::OnSuccessorClosed() {
   successor_.reset();
   if (!std::exchange(successor_serving_, false)) return;
-  log::Write(log::Level::kWarn, "abandoned", {{"text", "the next version has ended; this one serves again"}});
+  log::Write(log::Level::kWarn, "hot_restart_abandoned", {{"reason", "successor_ended"}});
   descriptor_count_timer_.cancel();
-  handlers_.abandoned();
-  server_.Listen();
+  delegate_.OnSuccessorLost();
+  // If it can't listen any more, the next version starts without a predecessor.
+  static_cast<void>(listener_.Listen());
 }
 
 void HotRestartCoordinator::SendDescriptorCount() {
   if (!successor_) return;
-  successor_->Send(Kind::kDescriptorsHeld, std::to_string(handlers_.held()));
+  const std::string count = FormatDescriptorCount(delegate_.CountDescriptors());
+  successor_->Send({.kind = Kind::kDescriptorsHeld, .text = count});
   descriptor_count_timer_.expires_after(core::ToDuration(kDescriptorCountInterval));
   descriptor_count_timer_.async_wait([this](error_code ec) {
     if (!ec) SendDescriptorCount();
   });
 }
 
-bool HotRestartCoordinator::PassClientConnection(int socket, std::string_view unread) {
-  return successor_ && unread.size() <= kMaxMessageText &&
-         successor_->Send(Kind::kClientConnection, unread, socket);
+bool HotRestartCoordinator::SendToSuccessor(const OutgoingMessage& message) {
+  return successor_ && successor_->Send(message);
 }
 
-bool HotRestartCoordinator::PassHostConnection(const std::string& host,
-                                               const boost::asio::ip::tcp::endpoint& address, int socket) {
-  return successor_ &&
-         successor_->Send(Kind::kHostConnection, discovery::FormatAddress(address) + " " + host, socket);
+bool HotRestartCoordinator::PassClientConnection(std::string_view unread, int connection) {
+  return unread.size() <= kMaxMessageText &&
+         SendToSuccessor({.kind = Kind::kClientConnection, .text = unread, .descriptor = connection});
 }
 
-bool HotRestartCoordinator::PassTunnel(std::string_view text, int client, int host) {
-  return successor_ && text.size() <= kMaxMessageText && successor_->Send(Kind::kTunnel, text, client, host);
+bool HotRestartCoordinator::PassHostConnection(const HostConnectionInfo& info, int connection) {
+  const std::string text = FormatHostConnection(info);
+  return SendToSuccessor({.kind = Kind::kHostConnection, .text = text, .descriptor = connection});
 }
 
-void HotRestartCoordinator::ReplicateMaintenance(const std::string& host, bool out) {
-  SendMaintenance(predecessor_.get(), host, out);
-  SendMaintenance(successor_.get(), host, out);
+bool HotRestartCoordinator::PassTunnel(std::string_view state, int client, int host) {
+  return state.size() <= kMaxMessageText &&
+         SendToSuccessor(
+             {.kind = Kind::kTunnel, .text = state, .descriptor = client, .second_descriptor = host});
 }
 
-void HotRestartCoordinator::SendMaintenance(HandoverChannel* link, const std::string& host, bool out) {
-  if (link != nullptr) link->Send(out ? Kind::kMaintenanceStarted : Kind::kMaintenanceEnded, host);
+void HotRestartCoordinator::ReplicateMaintenance(const MaintenanceChange& change) {
+  const OutgoingMessage message = ToMessage(change);
+  if (predecessor_) predecessor_->Send(message);
+  SendToSuccessor(message);
 }
 
 }  // namespace meadowyard::operations
--- a/src/operations/hot_restart_coordinator.hpp
+++ b/src/operations/hot_restart_coordinator.hpp
@@ -1,66 +1,73 @@
-// A gateway's part in a change of version: it follows the process before it, and gives way to the next one.
-#ifndef MEADOWYARD_SUCCESSION_HPP_
-#define MEADOWYARD_SUCCESSION_HPP_
+/// @file
+/// A gateway's part in a hot restart, in which a new process takes over from the one that serves without
+/// losing a request. Each process may have a predecessor, from which it took over, and a successor.
+#ifndef MEADOWYARD_OPERATIONS_HOT_RESTART_COORDINATOR_HPP_
+#define MEADOWYARD_OPERATIONS_HOT_RESTART_COORDINATOR_HPP_
 
 #include <boost/asio/io_context.hpp>
-#include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
-#include <cstddef>
-#include <functional>
 #include <memory>
 #include <string>
 #include <string_view>
-#include <utility>
-#include <vector>
 
+#include "operations/descriptor.hpp"
 #include "operations/handover_channel.hpp"
+#include "operations/handover_messages.hpp"
+#include "operations/hot_restart_delegate.hpp"
+#include "operations/maintenance_change.hpp"
+#include "operations/successor_listener.hpp"
 
 namespace meadowyard::operations {
 
+/// Speaks with the predecessor and the successor, and says who serves. The course of a hot restart:
+///
+///  1. The successor connects and is sent the state and the listening sockets. This process goes on serving.
+///  2. The successor says that it serves. This process passes on the connections that are idle and finishes
+///  the
+///     requests that are open.
+///  3. If the successor ends before this process does, this process serves again.
+///
+/// While both run, each change to a host's maintenance is replicated to the other.
 class HotRestartCoordinator {
  public:
-  struct Handlers {
-    std::function<std::string()> state;       // what the next process is to know
-    std::function<int()> listener;            // the clients' listening socket
-    std::function<std::size_t()> held;        // descriptors that this process holds
-    std::function<void()> succeeded;          // the next process serves
-    std::function<void()> abandoned;          // the next process has ended: this one serves again
-    std::function<void(std::size_t)> others;  // descriptors that the process before this one still holds
-    std::function<void(std::string_view unread, Descriptor socket)> client;
-    std::function<void(const std::string& host, const boost::asio::ip::tcp::endpoint& address, Descriptor)>
-        host;
-    std::function<void(const std::string& host, bool out)> maintained;  // by the other process's operators
-    std::function<std::vector<std::pair<std::string, int>>()> doors;    // the tunnels' listening sockets
-    std::function<void(std::string_view text, Descriptor client, Descriptor host)> tunnel;
-  };
-  // `path` is empty where there is no next process to wait for; `before` is the link to the one before.
-  HotRestartCoordinator(boost::asio::io_context& io, const std::string& path, Descriptor before,
-                        Handlers handlers);
+  /// `path` is where a successor finds this process (see HandoverPath); empty: it can't have one.
+  /// `predecessor` is PredecessorState::channel, or empty. The delegate must outlive the coordinator.
+  HotRestartCoordinator(boost::asio::io_context& io, const std::string& path, Descriptor predecessor,
+                        HotRestartDelegate& delegate);
 
-  // This process serves: tells the one before, and can be found by the next.
+  /// This process serves: notifies the predecessor, and listens for a successor. Calls after the first one do
+  /// nothing.
   void StartServing();
-  // The next process serves; until it does, or once it has ended, this one does.
-  bool successor_serving() const { return successor_serving_; }
+  /// Whether the successor serves in this process's place.
+  [[nodiscard]] bool successor_serving() const { return successor_serving_; }
 
-  // To the next process; false if it can't be passed now.
-  bool PassClientConnection(int socket, std::string_view unread);
-  bool PassHostConnection(const std::string& host, const boost::asio::ip::tcp::endpoint& address, int socket);
-  bool PassTunnel(std::string_view text, int client, int host);
-  // An operator of this process left a host out or put it back.
-  void ReplicateMaintenance(const std::string& host, bool out);
+  /// Passes a client's connection to the successor; false if it can't be passed now. The descriptor stays
+  /// with the caller.
+  [[nodiscard]] bool PassClientConnection(std::string_view unread, int connection);
+  /// The same for an idle connection to a host.
+  [[nodiscard]] bool PassHostConnection(const HostConnectionInfo& info, int connection);
+  /// The same for an open tunnel; `state` is for HotRestartDelegate::AdoptTunnel.
+  [[nodiscard]] bool PassTunnel(std::string_view state, int client, int host);
+
+  /// Sends a change that an operator made at this process to the predecessor and the successor.
+  void ReplicateMaintenance(const MaintenanceChange& change);
 
  private:
-  void OnSuccessorConnected(Descriptor socket);
-  void OnPredecessorMessage(HandoverMessage message);
-  void OnSuccessorMessage(HandoverMessage message);
+  void OnPredecessorMessage(IncomingMessage message);
+  void OnPredecessorClosed();
+  void OnSuccessorConnected(Descriptor connection);
+  [[nodiscard]] bool SendState(int connection);
+  void OnSuccessorMessage(const IncomingMessage& message);
+  void OnSuccessorReady();
   void OnSuccessorClosed();
   void SendDescriptorCount();
-  void SendMaintenance(HandoverChannel* link, const std::string& host, bool out);
+  bool SendToSuccessor(const OutgoingMessage& message);
 
   boost::asio::io_context& io_;
-  const Handlers handlers_;
-  std::unique_ptr<HandoverChannel> predecessor_, successor_;
-  SuccessorListener server_;
+  HotRestartDelegate& delegate_;
+  std::unique_ptr<HandoverChannel> predecessor_;  // null: none, or it has ended
+  std::unique_ptr<HandoverChannel> successor_;    // null: none, or it has ended
+  SuccessorListener listener_;
   const bool may_have_successor_;
   boost::asio::steady_timer descriptor_count_timer_;
   bool serving_ = false;
@@ -69,4 +76,4 @@
 
 }  // namespace meadowyard::operations
 
-#endif  // MEADOWYARD_SUCCESSION_HPP_
+#endif  // MEADOWYARD_OPERATIONS_HOT_RESTART_COORDINATOR_HPP_
--- a/tests/exhaustion_test.cpp
+++ b/tests/exhaustion_test.cpp
@@ -262,7 +262,7 @@
 TEST_F(Exhaustion, OfTheFolderForTheHandOver) {
   auto version = service.Start(nullptr, "/dev/null");
   ServesAsBefore(version);
-  EXPECT_NE(version.process->Errors().find("handover_unreachable"), std::string::npos);
+  EXPECT_NE(version.process->Errors().find("hot_restart_unavailable"), std::string::npos);
   auto next = service.Start(nullptr, "/dev/null");
   version.process->Terminate();
   EXPECT_TRUE(RunUntil(service.io, [&] { return version.process->Ended(); }));
--- a/tests/operations/handover_format_test.cpp
+++ b/tests/operations/handover_format_test.cpp
@@ -24,14 +24,16 @@
 #include <vector>
 
 #include "config/config.hpp"
+#include "operations/descriptor.hpp"
 #include "operations/handover_channel.hpp"
 #include "operations/handover_state.hpp"
 #include "operations/hot_restart_coordinator.hpp"
+#include "operations/hot_restart_delegate.hpp"
 
 namespace meadowyard::testing {
 namespace {
 
-using Kind = operations::HandoverMessage::Kind;
+using Kind = operations::HandoverMessageKind;
 using nlohmann::json;
 using tcp = boost::asio::ip::tcp;
 
@@ -382,9 +384,12 @@
     SCOPED_TRACE(letter);
     SocketPair link;
     SocketPair passed;
-    ASSERT_TRUE(operations::SendMessage(link.ours.get(), kind, text));
-    ASSERT_TRUE(operations::SendMessage(link.ours.get(), kind, "", passed.ours.get()));
-    ASSERT_TRUE(operations::SendMessage(link.ours.get(), kind, text, passed.ours.get(), passed.theirs.get()));
+    ASSERT_TRUE(operations::SendMessage(link.ours.get(), {.kind = kind, .text = text}));
+    ASSERT_TRUE(operations::SendMessage(link.ours.get(), {.kind = kind, .descriptor = passed.ours.get()}));
+    ASSERT_TRUE(operations::SendMessage(link.ours.get(), {.kind = kind,
+                                                          .text = text,
+                                                          .descriptor = passed.ours.get(),
+                                                          .second_descriptor = passed.theirs.get()}));
     const Packet plain = ReceivePacket(link.theirs.get());
     EXPECT_EQ(plain.bytes, letter + text);
     EXPECT_TRUE(plain.descriptors.empty());
@@ -410,22 +415,20 @@
     const std::string packet = letter + std::string("10.0.0.1:80 web 1");
     ASSERT_EQ(::send(link.ours.get(), packet.data(), packet.size(), 0), static_cast<ssize_t>(packet.size()));
     ASSERT_EQ(::send(link.ours.get(), &letter, 1, 0), 1);
-    bool ended = false;
-    const auto message = operations::ReceiveMessage(link.theirs.get(), ended);
-    ASSERT_TRUE(message);
-    EXPECT_EQ(message->kind, kind);
-    EXPECT_EQ(message->text, "10.0.0.1:80 web 1");
-    EXPECT_FALSE(message->descriptor);
-    EXPECT_FALSE(message->second_descriptor);
-    const auto empty = operations::ReceiveMessage(link.theirs.get(), ended);
-    ASSERT_TRUE(empty);
-    EXPECT_EQ(empty->kind, kind);
-    EXPECT_EQ(empty->text, "");
-    EXPECT_FALSE(operations::ReceiveMessage(link.theirs.get(), ended));
-    EXPECT_FALSE(ended);
+    const auto result = operations::ReceiveMessage(link.theirs.get());
+    ASSERT_EQ(result.status, operations::ReceiveStatus::kReceived);
+    EXPECT_EQ(result.message.kind, kind);
+    EXPECT_EQ(result.message.text, "10.0.0.1:80 web 1");
+    EXPECT_FALSE(result.message.descriptor);
+    EXPECT_FALSE(result.message.second_descriptor);
+    const auto empty = operations::ReceiveMessage(link.theirs.get());
+    ASSERT_EQ(empty.status, operations::ReceiveStatus::kReceived);
+    EXPECT_EQ(empty.message.kind, kind);
+    EXPECT_EQ(empty.message.text, "");
+    EXPECT_EQ(operations::ReceiveMessage(link.theirs.get()).status,
+              operations::ReceiveStatus::kNothingPending);
     link.ours = operations::Descriptor();
-    EXPECT_FALSE(operations::ReceiveMessage(link.theirs.get(), ended));
-    EXPECT_TRUE(ended);
+    EXPECT_EQ(operations::ReceiveMessage(link.theirs.get()).status, operations::ReceiveStatus::kClosed);
   }
 }
 
@@ -442,35 +445,35 @@
 
 // ---- The course of messages ----------------------------------------------------------------------
 
-// What one process is told by the other one, a line each.
-struct Recorder {
-  operations::HotRestartCoordinator::Handlers Handlers() {
-    const auto note = [this](std::string line) { lines.push_back(std::move(line)); };
-    return {
-        .state = [this] { return state; },
-        .listener = [this] { return listener.get(); },
-        .held = [] { return std::size_t{7}; },
-        .succeeded = [note] { note("succeeded"); },
-        .abandoned = [note] { note("abandoned"); },
-        .others = [note](std::size_t count) { note("others " + std::to_string(count)); },
-        .client =
-            [note](std::string_view unread, operations::Descriptor socket) {
-              note("client " + std::string(unread) + (socket ? " +1" : ""));
-            },
-        .host =
-            [note](const std::string& host, const tcp::endpoint& address, operations::Descriptor socket) {
-              note("host " + host + " at " + discovery::FormatAddress(address) + (socket ? " +1" : ""));
-            },
-        .maintained = [note](const std::string& host, bool out) { note((out ? "out " : "back ") + host); },
-        .doors =
-            [this] {
-              return std::vector<std::pair<std::string, int>>{{"first", listener.get()},
-                                                              {"second", listener.get()}};
-            },
-        .tunnel =
-            [note](std::string_view text, operations::Descriptor client, operations::Descriptor host) {
-              note("tunnel " + std::string(text) + (client && host ? " +2" : ""));
-            }};
+// Records what one process is notified of by the other one, a line each.
+class Recorder : public operations::HotRestartDelegate {
+ public:
+  std::string SerializeState() override { return state; }
+  int ClientListener() override { return listener.get(); }
+  std::vector<operations::TunnelListener> TunnelListeners() override {
+    return {{.name = "first", .descriptor = listener.get()},
+            {.name = "second", .descriptor = listener.get()}};
+  }
+  std::size_t CountDescriptors() override { return 7; }
+  void OnSuccessorServing() override { lines.emplace_back("successor serving"); }
+  void OnSuccessorLost() override { lines.emplace_back("successor lost"); }
+  void OnPredecessorDescriptors(std::size_t count) override {
+    lines.push_back("predecessor descriptors " + std::to_string(count));
+  }
+  void AdoptClientConnection(std::string_view unread, operations::Descriptor connection) override {
+    lines.push_back("client " + std::string(unread) + (connection ? " +1" : ""));
+  }
+  void AdoptHostConnection(const operations::HostConnectionInfo& info,
+                           operations::Descriptor connection) override {
+    lines.push_back("host " + info.host_id + " at " + discovery::FormatAddress(info.address) +
+                    (connection ? " +1" : ""));
+  }
+  void AdoptTunnel(std::string_view text, operations::Descriptor client,
+                   operations::Descriptor host) override {
+    lines.push_back("tunnel " + std::string(text) + (client && host ? " +2" : ""));
+  }
+  void OnMaintenanceChanged(const operations::MaintenanceChange& change) override {
+    lines.push_back((change.in_maintenance ? "in maintenance " : "maintenance ended ") + change.host_id);
   }
   bool Wait(boost::asio::io_context& io, std::size_t count) const {
     const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
@@ -526,7 +529,7 @@
   const std::string piece(operations::kMaxMessageText, 's');
   recorder.state = piece + piece + "rest";
   const std::string path = config::HandoverSocketPath(folder.path, "x");
-  operations::HotRestartCoordinator coordinator(io, path, operations::Descriptor(), recorder.Handlers());
+  operations::HotRestartCoordinator coordinator(io, path, operations::Descriptor(), recorder);
   coordinator.StartServing();
   struct stat status {};
   ASSERT_EQ(::stat(path.c_str(), &status), 0);
@@ -541,14 +544,15 @@
   ExpectPacket(link.get(), "E", 0);
   SendPacket(link.get(), "R");
   ASSERT_TRUE(recorder.Wait(io, 1));
-  EXPECT_EQ(recorder.lines[0], "succeeded");
+  EXPECT_EQ(recorder.lines[0], "successor serving");
   ExpectPacket(link.get(), "D7", 0);
   const SocketPair passed;
-  EXPECT_TRUE(coordinator.PassClientConnection(passed.ours.get(), "GET / HT"));
-  EXPECT_TRUE(coordinator.PassHostConnection("web 1", Address("10.0.0.1", 80), passed.ours.get()));
+  EXPECT_TRUE(coordinator.PassClientConnection("GET / HT", passed.ours.get()));
+  EXPECT_TRUE(coordinator.PassHostConnection({.host_id = "web 1", .address = Address("10.0.0.1", 80)},
+                                             passed.ours.get()));
   EXPECT_TRUE(coordinator.PassTunnel("{\"a\":1}", passed.ours.get(), passed.theirs.get()));
-  coordinator.ReplicateMaintenance("web-1", true);
-  coordinator.ReplicateMaintenance("web-1", false);
+  coordinator.ReplicateMaintenance({.host_id = "web-1", .in_maintenance = true});
+  coordinator.ReplicateMaintenance({.host_id = "web-1", .in_maintenance = false});
   ExpectPacket(link.get(), "CGET / HT", 1);
   ExpectPacket(link.get(), "H10.0.0.1:80 web 1", 1);
   ExpectPacket(link.get(), "T{\"a\":1}", 2);
@@ -557,8 +561,8 @@
   SendPacket(link.get(), "Oweb-2");
   SendPacket(link.get(), "Bweb-2");
   ASSERT_TRUE(recorder.Wait(io, 3));
-  EXPECT_EQ(recorder.lines[1], "out web-2");
-  EXPECT_EQ(recorder.lines[2], "back web-2");
+  EXPECT_EQ(recorder.lines[1], "in maintenance web-2");
+  EXPECT_EQ(recorder.lines[2], "maintenance ended web-2");
 }
 
 // Guards what is read of the version before, and what that one is sent.
@@ -566,30 +570,41 @@
   boost::asio::io_context io;
   Recorder recorder;
   SocketPair link;
-  operations::HotRestartCoordinator coordinator(io, "", std::move(link.theirs), recorder.Handlers());
+  operations::HotRestartCoordinator coordinator(io, "", std::move(link.theirs), recorder);
   coordinator.StartServing();
   ExpectPacket(link.ours.get(), "R", 0);
-  coordinator.ReplicateMaintenance("web-1", true);
-  coordinator.ReplicateMaintenance("web-1", false);
+  coordinator.ReplicateMaintenance({.host_id = "web-1", .in_maintenance = true});
+  coordinator.ReplicateMaintenance({.host_id = "web-1", .in_maintenance = false});
   ExpectPacket(link.ours.get(), "Oweb-1", 0);
   ExpectPacket(link.ours.get(), "Bweb-1", 0);
   for (const char* const packet : {"D321", "Oweb-2", "Bweb-2", "Znever heard of", "Hno-space", "D0"}) {
     SendPacket(link.ours.get(), packet);
   }
   const SocketPair passed;
-  ASSERT_TRUE(operations::SendMessage(link.ours.get(), Kind::kClientConnection, "GET /", passed.ours.get()));
-  ASSERT_TRUE(
-      operations::SendMessage(link.ours.get(), Kind::kHostConnection, "[::1]:80 web 1", passed.ours.get()));
-  ASSERT_TRUE(operations::SendMessage(link.ours.get(), Kind::kHostConnection, "10.0.0.1:80 web 1",
-                                      passed.ours.get()));
-  ASSERT_TRUE(
-      operations::SendMessage(link.ours.get(), Kind::kTunnel, "{}", passed.ours.get(), passed.theirs.get()));
+  for (const operations::OutgoingMessage& message : {
+           operations::OutgoingMessage{
+               .kind = Kind::kClientConnection, .text = "GET /", .descriptor = passed.ours.get()},
+           operations::OutgoingMessage{
+               .kind = Kind::kHostConnection, .text = "[::1]:80 web 1", .descriptor = passed.ours.get()},
+           operations::OutgoingMessage{
+               .kind = Kind::kHostConnection, .text = "10.0.0.1:80 web 1", .descriptor = passed.ours.get()},
+           operations::OutgoingMessage{.kind = Kind::kTunnel,
+           .text = "{}",
+           .descriptor = passed.ours.get(),
+           .second_descriptor = passed.theirs.get()},
+       }) {
+    ASSERT_TRUE(operations::SendMessage(link.ours.get(), message));
+  }
   link.ours = operations::Descriptor();
   ASSERT_TRUE(recorder.Wait(io, 8));
-  const std::vector<std::string> expected = {"others 321",      "out web-2",
-                                             "back web-2",      "others 0",
-                                             "client GET / +1", "host web 1 at 10.0.0.1:80 +1",
-                                             "tunnel {} +2",    "others 0"};
+  const std::vector<std::string> expected = {"predecessor descriptors 321",
+                                             "in maintenance web-2",
+                                             "maintenance ended web-2",
+                                             "predecessor descriptors 0",
+                                             "client GET / +1",
+                                             "host web 1 at 10.0.0.1:80 +1",
+                                             "tunnel {} +2",
+                                             "predecessor descriptors 0"};
   EXPECT_EQ(recorder.lines, expected);
 }
 
--- a/tests/operations/hot_restart_test.cpp
+++ b/tests/operations/hot_restart_test.cpp
@@ -1,4 +1,5 @@
-// What passes between two processes of one gateway: messages, descriptors, and what is told of the state.
+/// @file
+/// The hot restart between two processes of one gateway, and the state that the first hands over.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -6,38 +7,48 @@
 #include <future>
 
 #include "config/config.hpp"
-#include "operations/handover_channel.hpp"
 #include "operations/handover_state.hpp"
 #include "operations/hot_restart_coordinator.hpp"
+#include "operations/hot_restart_delegate.hpp"
+#include "operations/predecessor_state.hpp"
 #include "peers.hpp"
 
 namespace meadowyard::testing {
 namespace {
 
-// One side of a change of version that counts what it is told.
-struct Side {
-  operations::HotRestartCoordinator::Handlers Handlers() {
-    return {[this] { return state; },
-            [this] { return listener; },
-            [] { return std::size_t{7}; },
-            [this] { ++succeeded; },
-            [this] { ++abandoned; },
-            [this](std::size_t n) { others.push_back(n); },
-            [this](std::string_view unread, operations::Descriptor fd) {
-              clients.emplace_back(std::string(unread), std::move(fd));
-            },
-            [this](const std::string& host, const tcp::endpoint& at, operations::Descriptor) {
-              hosts.push_back(host + "@" + ToText(at));
-            },
-            [this](const std::string& host, bool out) { maintained.push_back((out ? "-" : "+") + host); },
-            [] { return std::vector<std::pair<std::string, int>>(); },
-            [](std::string_view, operations::Descriptor, operations::Descriptor) {}};
+// One process of a hot restart, which records what it is notified of.
+class FakeGateway : public operations::HotRestartDelegate {
+ public:
+  std::string SerializeState() override { return state; }
+  int ClientListener() override { return listener; }
+  std::vector<operations::TunnelListener> TunnelListeners() override { return {}; }
+  std::size_t CountDescriptors() override { return 7; }
+  void OnSuccessorServing() override { ++successors_serving; }
+  void OnSuccessorLost() override { ++successors_lost; }
+  void OnPredecessorDescriptors(std::size_t count) override { predecessor_descriptors.push_back(count); }
+  void AdoptClientConnection(std::string_view unread, operations::Descriptor connection) override {
+    clients.push_back({std::string(unread), std::move(connection)});
   }
+  void AdoptHostConnection(const operations::HostConnectionInfo& info, operations::Descriptor) override {
+    hosts.push_back(info.host_id + "@" + ToText(info.address));
+  }
+  void AdoptTunnel(std::string_view, operations::Descriptor, operations::Descriptor) override {}
+  void OnMaintenanceChanged(const operations::MaintenanceChange& change) override {
+    maintenance.push_back((change.in_maintenance ? "-" : "+") + change.host_id);
+  }
+
+  struct AdoptedClient {
+    std::string unread;
+    operations::Descriptor connection;
+  };
   std::string state;
-  int listener = -1, succeeded = 0, abandoned = 0;
-  std::vector<std::size_t> others;
-  std::vector<std::pair<std::string, operations::Descriptor>> clients;
-  std::vector<std::string> hosts, maintained;
+  int listener = -1;
+  int successors_serving = 0;
+  int successors_lost = 0;
+  std::vector<std::size_t> predecessor_descriptors;
+  std::vector<AdoptedClient> clients;
+  std::vector<std::string> hosts;
+  std::vector<std::string> maintenance;
 };
 
 struct Folder {
@@ -59,10 +70,11 @@
   const std::string path = meadowyard::config::HandoverSocketPath(folder.path, "x");
   EXPECT_FALSE(operations::RequestPredecessorState(path));
   tcp::acceptor door(io, Loopback());
-  Side first, second;
+  FakeGateway first;
+  FakeGateway second;
   first.state = std::string(100000, 's') + "end";
   first.listener = door.native_handle();
-  operations::HotRestartCoordinator old(io, path, operations::Descriptor(), first.Handlers());
+  operations::HotRestartCoordinator old(io, path, operations::Descriptor(), first);
   old.StartServing();
   auto asked = std::async(std::launch::async, [&] { return operations::RequestPredecessorState(path); });
   ASSERT_TRUE(
@@ -74,34 +86,35 @@
   EXPECT_EQ(same.local_endpoint(), door.local_endpoint());
   EXPECT_FALSE(old.successor_serving()) << "it has not said yet that it serves";
   {
-    operations::HotRestartCoordinator next(io, path, std::move(predecessor->channel), second.Handlers());
+    operations::HotRestartCoordinator next(io, path, std::move(predecessor->channel), second);
     next.StartServing();
-    ASSERT_TRUE(RunUntil(io, [&] { return first.succeeded == 1; }));
+    ASSERT_TRUE(RunUntil(io, [&] { return first.successors_serving == 1; }));
     int pair[2];
     ASSERT_EQ(::socketpair(AF_UNIX, SOCK_STREAM, 0, pair), 0);
     operations::Descriptor ours(pair[0]);
     {
       operations::Descriptor passed(pair[1]);
-      EXPECT_TRUE(old.PassClientConnection(passed.get(), "GET /"));
-      EXPECT_TRUE(old.PassHostConnection("h1", Loopback(9), passed.get()));
+      EXPECT_TRUE(old.PassClientConnection("GET /", passed.get()));
+      EXPECT_TRUE(old.PassHostConnection({.host_id = "h1", .address = Loopback(9)}, passed.get()));
     }
-    ASSERT_TRUE(RunUntil(io, [&] { return second.hosts.size() == 1 && !second.others.empty(); }));
+    ASSERT_TRUE(
+        RunUntil(io, [&] { return second.hosts.size() == 1 && !second.predecessor_descriptors.empty(); }));
     EXPECT_EQ(second.hosts[0], "h1@127.0.0.1:9");
-    EXPECT_EQ(second.others[0], 7u);
+    EXPECT_EQ(second.predecessor_descriptors[0], 7u);
     ASSERT_EQ(second.clients.size(), 1u);
-    EXPECT_EQ(second.clients[0].first, "GET /");
+    EXPECT_EQ(second.clients[0].unread, "GET /");
     char byte = 0;
     EXPECT_EQ(::write(ours.get(), "x", 1), 1);
-    EXPECT_EQ(::read(second.clients[0].second.get(), &byte, 1), 1);
-    old.ReplicateMaintenance("h1", true);
-    next.ReplicateMaintenance("h2", false);
-    ASSERT_TRUE(RunUntil(io, [&] { return !second.maintained.empty() && !first.maintained.empty(); }));
-    EXPECT_EQ(second.maintained[0], "-h1");
-    EXPECT_EQ(first.maintained[0], "+h2");
+    EXPECT_EQ(::read(second.clients[0].connection.get(), &byte, 1), 1);
+    old.ReplicateMaintenance({.host_id = "h1", .in_maintenance = true});
+    next.ReplicateMaintenance({.host_id = "h2", .in_maintenance = false});
+    ASSERT_TRUE(RunUntil(io, [&] { return !second.maintenance.empty() && !first.maintenance.empty(); }));
+    EXPECT_EQ(second.maintenance[0], "-h1");
+    EXPECT_EQ(first.maintenance[0], "+h2");
   }
-  ASSERT_TRUE(RunUntil(io, [&] { return first.abandoned == 1; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return first.successors_lost == 1; }));
   EXPECT_FALSE(old.successor_serving());
-  EXPECT_FALSE(old.PassClientConnection(0, ""));
+  EXPECT_FALSE(old.PassClientConnection("", 0));
 }
 
 // Guards what the module knows against a change of version: who is out, who is cold, and what was learned.
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -358,11 +358,11 @@
   {
     auto next = service.Start();
     ASSERT_TRUE(RunUntil(service.io, [&] {
-      return old.process->Errors().find("the next version serves") != std::string::npos;
+      return old.process->Errors().find("hot_restart_completed") != std::string::npos;
     }));
   }
   ASSERT_TRUE(RunUntil(
-      service.io, [&] { return old.process->Errors().find("this one serves again") != std::string::npos; }));
+      service.io, [&] { return old.process->Errors().find("hot_restart_abandoned") != std::string::npos; }));
   Client client(service.io, service.listen);
   client.Send(ApiCall("r1"));
   EXPECT_EQ(client.Await().body(), "r1");
