--- a/src/app/cluster_service.cpp
+++ b/src/app/cluster_service.cpp
@@ -19,8 +19,8 @@
 void ClusterService::Open() {
   if (!peers_) return;
   Close();  // first: its address is free then
-  if (peers_->share_list) ShareList();
-  if (peers_->locality.enabled) ShareZones();
+  if (peers_->shares_endpoint_list) ShareList();
+  if (peers_->zone_routing.enabled) ShareZones();
   link_.emplace(io_, *peers_,
                 membership::PeerLink::Handlers{
                     handlers_.gossip, handlers_.news,
@@ -54,10 +54,10 @@
 
 void ClusterService::ShareList() {
   coordination::EndpointListLeader::Times times;
-  times.lease.term = peers_->lease;
-  times.lease.retry_interval = 2 * peers_->beat;
-  times.stale = 2 * peers_->silent;
-  duty_.emplace(static_cast<int>(peers_->self), static_cast<int>(peers_->all.size()), times, core::Now(),
+  times.lease.term = peers_->lease_term;
+  times.lease.retry_interval = 2 * peers_->heartbeat_interval;
+  times.stale = 2 * peers_->suspect_timeout;
+  duty_.emplace(static_cast<int>(peers_->self), static_cast<int>(peers_->peers.size()), times, core::Now(),
                 static_cast<coordination::FencingToken>(core::Now()), discovery_.revision(),
                 coordination::EndpointListLeader::Handlers{
                     [this](int to, const coordination::CoordinationMessage& word) {
@@ -73,11 +73,11 @@
 
 void ClusterService::ShareZones() {
   coordination::ZoneStateCoordinator::Times times;
-  times.lease.term = peers_->lease;
-  times.lease.retry_interval = 2 * peers_->beat;
-  times.evaluator = peers_->zones;
-  times.again = 2 * peers_->beat;
-  zones_.emplace(static_cast<int>(peers_->self), static_cast<int>(peers_->all.size()), times, core::Now(),
+  times.lease.term = peers_->lease_term;
+  times.lease.retry_interval = 2 * peers_->heartbeat_interval;
+  times.evaluator = peers_->zone_health;
+  times.again = 2 * peers_->heartbeat_interval;
+  zones_.emplace(static_cast<int>(peers_->self), static_cast<int>(peers_->peers.size()), times, core::Now(),
                  static_cast<coordination::FencingToken>(core::Now()),
                  coordination::ZoneStateCoordinator::Handlers{
                      [this](int to, const coordination::CoordinationMessage& word) {
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -138,8 +138,8 @@
 }
 
 void Service::KnowPeers(membership::PeersConfig peers) {
-  subset_ = peers.subset;
-  locality_ = peers.locality;
+  subset_ = peers.subset_size;
+  locality_ = peers.zone_routing;
   peers_.Know(std::move(peers));
   core_.Configure(Fitted());
 }
--- a/src/edge/edge_config.cpp
+++ b/src/edge/edge_config.cpp
@@ -2,27 +2,28 @@
 
 #include <algorithm>
 #include <charconv>
-#include <fstream>
 #include <limits>
-#include <sstream>
 
-#include "edge/table_reader.hpp"
+#include "config_file/table_reader.hpp"
+#include "config_file/toml_file.hpp"
 
 namespace meadowyard {
 namespace {
 
+using config_file::TableReader;
+
 constexpr double kMostTime = 24 * 3600 * 1000.0;
 constexpr std::size_t kMostCredential = 255;  // RFC 1929, section 2
 
 TunnelProtocol ReadProtocol(TableReader& in, std::string_view key) {
-  const std::string text = in.Text(key);
+  const std::string text = in.ReadString(key);
   if (text == "socks5") return TunnelProtocol::kSocks5;
   if (text == "connect") return TunnelProtocol::kConnect;
   in.Fail(key, "'" + text + "' is neither socks5 nor connect");
 }
 
 std::string ReadName(TableReader& in, std::string_view key, std::size_t most = kMostCredential) {
-  const std::string text = in.Text(key);
+  const std::string text = in.ReadString(key);
   if (text.empty() || text.size() > most) in.Fail(key, "must have 1 to " + std::to_string(most) + " bytes");
   return text;
 }
@@ -31,29 +32,29 @@
   TrafficClassSettings& c = config.tunnel;
   c.name = ReadName(in, "class");
   c.idempotency = Idempotency::kNonIdempotent;  // once a byte may have gone, never again
-  c.latency_objective = in.Number("aim_ms", 2000, 1, kMostTime);
-  c.deadline = in.Number("open_within_ms", 5000, 100, kMostTime);
+  c.latency_objective = in.ReadNumber("aim_ms", 2000, {.min = 1, .max = kMostTime});
+  c.deadline = in.ReadNumber("open_within_ms", 5000, {.min = 100, .max = kMostTime});
   if (c.latency_objective > c.deadline) in.Fail("aim_ms", "is more than open_within_ms");
-  c.priority_weight = in.Number("worth", 1, 0, 1e6);
+  c.priority_weight = in.ReadNumber("worth", 1, {.min = 0, .max = 1e6});
   TunnelLimits& l = config.limits;
-  l.most = in.Count("most", l.most, 1, 1e6);
-  l.most_per_address = in.Count("most_per_address", l.most, 1, 1e6);
-  l.most_per_user = in.Count("most_per_user", l.most, 1, 1e6);
-  l.most_per_host = static_cast<int>(in.Count("most_per_host", 0, 0, 1e6));
-  l.handshakes = in.Count("handshakes", l.handshakes, 1, 1e6);
-  l.handshake_bytes = in.Count("handshake_bytes", l.handshake_bytes, 1024, 65536);
-  l.handshake = in.Number("handshake_ms", l.handshake, 50, kMostTime);
-  l.idle = in.Number("idle_ms", l.idle, 100, kMostTime);
-  l.drain_grace = in.Number("drain_grace_ms", l.drain_grace, 0, kMostTime);
-  l.parent = in.Number("parent_ms", l.parent, 50, kMostTime);
+  l.most = in.ReadCount("most", l.most, {.min = 1, .max = 1e6});
+  l.most_per_address = in.ReadCount("most_per_address", l.most, {.min = 1, .max = 1e6});
+  l.most_per_user = in.ReadCount("most_per_user", l.most, {.min = 1, .max = 1e6});
+  l.most_per_host = static_cast<int>(in.ReadCount("most_per_host", 0, {.min = 0, .max = 1e6}));
+  l.handshakes = in.ReadCount("handshakes", l.handshakes, {.min = 1, .max = 1e6});
+  l.handshake_bytes = in.ReadCount("handshake_bytes", l.handshake_bytes, {.min = 1024, .max = 65536});
+  l.handshake = in.ReadNumber("handshake_ms", l.handshake, {.min = 50, .max = kMostTime});
+  l.idle = in.ReadNumber("idle_ms", l.idle, {.min = 100, .max = kMostTime});
+  l.drain_grace = in.ReadNumber("drain_grace_ms", l.drain_grace, {.min = 0, .max = kMostTime});
+  l.parent = in.ReadNumber("parent_ms", l.parent, {.min = 50, .max = kMostTime});
   in.Finish();
 }
 
 void ReadListener(TableReader& in, EdgeConfig& config) {
   EdgeListener l;
   l.protocol = ReadProtocol(in, "protocol");
-  l.address = in.Address("address");
-  l.credentials = in.Flag("credentials", false);
+  l.address = in.ReadAddress("address");
+  l.credentials = in.ReadBool("credentials", false);
   const bool twice = std::any_of(
       config.listeners.begin(), config.listeners.end(),
       [&](const EdgeListener& other) { return other.address == l.address && l.address.port() != 0; });
@@ -66,7 +67,7 @@
   u.name = ReadName(in, "name");
   if (u.name.find(':') != std::string::npos) in.Fail("name", "may have no colon (RFC 7617, section 2)");
   u.password = ReadName(in, "password");
-  u.tenant = in.Text("tenant", "");
+  u.tenant = in.ReadString("tenant", "");
   for (const EdgeUser& other : config.users) {
     if (other.name == u.name) in.Fail("name", "user '" + u.name + "' is there twice");
   }
@@ -76,10 +77,10 @@
 void ReadHost(TableReader& in, EdgePool& pool) {
   discovery::EndpointRecord host;
   host.endpoint.id = ReadName(in, "id");
-  host.address = in.Address("address");
-  host.endpoint.weight = in.Number("weight", 1, 0.001, 1000);
-  host.endpoint.zone = in.Text("hall", "");
-  host.endpoint.kind = in.Text("kind", pool.name);
+  host.address = in.ReadAddress("address");
+  host.endpoint.weight = in.ReadNumber("weight", 1, {.min = 0.001, .max = 1000});
+  host.endpoint.zone = in.ReadString("hall", "");
+  host.endpoint.kind = in.ReadString("kind", pool.name);
   host.endpoint.cell = host.endpoint.id;
   for (const discovery::EndpointRecord& other : pool.hosts) {
     if (other.endpoint.id == host.endpoint.id)
@@ -92,16 +93,16 @@
   EdgePool pool;
   pool.name = ReadName(in, "name");
   if (config.FindPool(pool.name) != nullptr) in.Fail("name", "pool '" + pool.name + "' is there twice");
-  pool.discovered = in.Flag("discovered", false);
-  in.Tables("host", [&](TableReader& host) { ReadHost(host, pool); });
+  pool.discovered = in.ReadBool("discovered", false);
+  in.ReadTables("host", [&](TableReader& host) { ReadHost(host, pool); });
   if (pool.discovered && !pool.hosts.empty()) in.Fail("host", "discovery tells the hosts of this pool");
   if (!pool.discovered && pool.hosts.empty()) in.Fail("host", "the pool has no host, and is not discovered");
-  if (auto parent = in.Table("parent")) {
+  if (auto parent = in.ReadTable("parent")) {
     ParentProxy p;
     p.protocol = ReadProtocol(*parent, "protocol");
-    p.address = parent->Address("address");
-    p.user = parent->Text("user", "");
-    p.password = parent->Text("password", "");
+    p.address = parent->ReadAddress("address");
+    p.user = parent->ReadString("user", "");
+    p.password = parent->ReadString("password", "");
     if (p.user.size() > kMostCredential) parent->Fail("user", "has more than 255 bytes");
     if (p.password.size() > kMostCredential) parent->Fail("password", "has more than 255 bytes");
     if (p.user.empty() != p.password.empty())
@@ -114,7 +115,7 @@
 
 void ReadPorts(TableReader& in, Pattern& pattern) {
   if (!in.Has("ports")) return;
-  const std::string text = in.Text("ports");
+  const std::string text = in.ReadString("ports");
   const char* const last = text.data() + text.size();
   auto [end, error] = std::from_chars(text.data(), last, pattern.first_port);
   pattern.last_port = pattern.first_port;
@@ -129,11 +130,11 @@
 }
 
 void ReadTarget(TableReader& in, const EdgeConfig& config, Route& route) {
-  const bool deny = in.Flag("deny", false);
+  const bool deny = in.ReadBool("deny", false);
   if (deny && (in.Has("pool") || in.Has("host")))
     in.Fail("deny", "a route that denies has neither pool nor host");
   if (deny) return;
-  route.pool = in.Text("pool", "");
+  route.pool = in.ReadString("pool", "");
   if (route.pool.empty()) in.Fail("pool", "missing: a route has a pool, or denies");
   const EdgePool* const pool = config.FindPool(route.pool);
   if (pool == nullptr) in.Fail("pool", "no pool has the name '" + route.pool + "'");
@@ -157,12 +158,12 @@
   std::string why;
   Pattern& p = route.pattern;
   if (in.Has("network")) {
-    const auto network = ParseNetwork(in.Text("network"), why);
+    const auto network = ParseNetwork(in.ReadString("network"), why);
     if (!network) in.Fail("network", why);
     p = *network;
   } else {
     const std::string_view key = in.Has("to") ? "to" : "suffix";
-    std::string text = in.Text(key);
+    std::string text = in.ReadString(key);
     if (key == "suffix" && text.starts_with('.')) text.erase(0, 1);
     const auto to = MakeDestination(text, 1, why);
     if (!to) in.Fail(key, why);
@@ -187,34 +188,28 @@
 EdgeConfig ParseEdge(const std::string& path, std::string text) {
   EdgeConfig config;
   config.path = path;
-  toml::table file;
-  try {
-    file = toml::parse(text, path);
-  } catch (const toml::parse_error& error) {
-    throw EdgeError(path + ":" + std::to_string(error.source().begin.line) + ": " +
-                    std::string(error.description()));
-  }
+  const toml::table file = config_file::ParseToml(text, path);
   config.text = std::move(text);
   TableReader in(file, path, "");
-  auto tunnels = in.Table("tunnels");
+  auto tunnels = in.ReadTable("tunnels");
   if (!tunnels) in.Fail("tunnels", "missing");
   ReadTunnels(*tunnels, config);
-  in.Tables("listener", [&](TableReader& each) { ReadListener(each, config); });
-  in.Tables("user", [&](TableReader& each) { ReadUser(each, config); });
-  in.Tables("pool", [&](TableReader& each) { ReadPool(each, config); });
+  in.ReadTables("listener", [&](TableReader& each) { ReadListener(each, config); });
+  in.ReadTables("user", [&](TableReader& each) { ReadUser(each, config); });
+  in.ReadTables("pool", [&](TableReader& each) { ReadPool(each, config); });
   if (config.listeners.empty()) in.Fail("listener", "missing: at least one");
   const bool asks = std::any_of(config.listeners.begin(), config.listeners.end(),
                                 [](const EdgeListener& l) { return l.credentials; });
   if (asks && config.users.empty()) in.Fail("user", "missing: a listener asks for credentials");
   std::vector<Route> rules;
-  in.Tables("route", [&](TableReader& each) {
+  in.ReadTables("route", [&](TableReader& each) {
     rules.push_back(ReadRoute(each, config));
     for (std::size_t i = 0; i + 1 < rules.size(); ++i) {
       if (rules[i].name == rules.back().name)
         each.Fail("name", "route '" + rules[i].name + "' is there twice");
     }
   });
-  auto otherwise = in.Table("default");
+  auto otherwise = in.ReadTable("default");
   if (!otherwise) in.Fail("default", "missing: say where goes what no route matches, or deny = true");
   Route fallback;
   fallback.name = "default";
@@ -231,11 +226,6 @@
   return config;
 }
 
-EdgeConfig LoadEdge(const std::string& path) {
-  std::ifstream stream(path);
-  std::ostringstream text;
-  if (!stream || !(text << stream.rdbuf())) throw EdgeError(path + ": can't be read");
-  return ParseEdge(path, text.str());
-}
+EdgeConfig LoadEdge(const std::string& path) { return ParseEdge(path, config_file::ReadText(path)); }
 
 }  // namespace meadowyard
--- a/src/edge/edge_config.hpp
+++ b/src/edge/edge_config.hpp
@@ -6,21 +6,18 @@
 #include <cstddef>
 #include <memory>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <vector>
 
 #include "discovery/discovery.hpp"
+#include "meadowyard/error.hpp"
 #include "meadowyard/policy.hpp"
 #include "routing/table.hpp"
 
 namespace meadowyard {
 
-// One line: file, line and field.
-class EdgeError : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
+/// The name by which callers know the error of an operators' file.
+using EdgeError = ConfigurationError;
 
 enum class TunnelProtocol { kSocks5, kConnect };
 
--- /dev/null
+++ b/src/membership/peer_address.hpp
@@ -0,0 +1,23 @@
+/// @file
+/// The name and the address of one gateway.
+#ifndef MEADOWYARD_MEMBERSHIP_PEER_ADDRESS_HPP_
+#define MEADOWYARD_MEMBERSHIP_PEER_ADDRESS_HPP_
+
+#include <boost/asio/ip/udp.hpp>
+#include <string>
+
+namespace meadowyard::membership {
+
+struct PeerAddress {
+  std::string name;
+  boost::asio::ip::udp::endpoint address;  ///< Datagrams to it go there, and its own come from there.
+};
+
+/// "10.1.0.18:7100"
+inline std::string ToText(const boost::asio::ip::udp::endpoint& endpoint) {
+  return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
+}
+
+}  // namespace meadowyard::membership
+
+#endif  // MEADOWYARD_MEMBERSHIP_PEER_ADDRESS_HPP_
--- a/src/membership/peer_transport.cpp
+++ b/src/membership/peer_transport.cpp
@@ -17,14 +17,10 @@
 
 std::vector<std::string> Names(const PeersConfig& config) {
   std::vector<std::string> names;
-  for (const PeerAddress& peer : config.all) names.push_back(peer.name);
+  for (const PeerAddress& peer : config.peers) names.push_back(peer.name);
   return names;
 }
 
-std::string ToText(const udp::endpoint& at) {
-  return at.address().to_string() + ":" + std::to_string(at.port());
-}
-
 // A life: the platform's seed may be the same after a restart.
 std::uint64_t Draw() {
   std::random_device device;
@@ -36,7 +32,8 @@
 PeerLink::PeerLink(asio::io_context& io, PeersConfig config, Handlers handlers)
     : config_(std::move(config)),
       handlers_(std::move(handlers)),
-      view_(Names(config_), config_.self, {config_.silent, config_.gone}, Draw(), core::Now()),
+      view_(Names(config_), config_.self, {config_.suspect_timeout, config_.dead_timeout}, Draw(),
+            core::Now()),
       socket_(io),
       timer_(io),
       random_(Draw()) {
@@ -68,20 +65,20 @@
   const auto beat = DecodeHeartbeat({buffer_.data(), size});
   const auto duty = beat ? std::nullopt : coordination::DecodeMessage(buffer_.data(), size);
   const std::string from = beat ? beat->sender : duty ? duty->sender : "";
-  const auto peer = std::find_if(config_.all.begin(), config_.all.end(),
+  const auto peer = std::find_if(config_.peers.begin(), config_.peers.end(),
                                  [&](const PeerAddress& p) { return p.name == from; });
-  if (peer == config_.all.end() || peer->address != from_) {
+  if (peer == config_.peers.end() || peer->address != from_) {
     ++strange_;
     return;
   }
   if (duty) {
-    handlers_.duty(static_cast<int>(peer - config_.all.begin()), duty->role, duty->message);
+    handlers_.duty(static_cast<int>(peer - config_.peers.begin()), duty->role, duty->message);
     return;
   }
   const Millis now = core::Now();
   if (!view_.OnHeartbeat(now, *beat)) return;
   ++heard_;
-  if (beat->zone_load) handlers_.seen(static_cast<int>(peer - config_.all.begin()), *beat->zone_load);
+  if (beat->zone_load) handlers_.seen(static_cast<int>(peer - config_.peers.begin()), *beat->zone_load);
   if (beat->started.empty() && beat->recovered.empty()) return;  // the rest can wait for the next beat
   Gossip gossip;
   for (const Heartbeat::EndpointStart& s : beat->started) gossip.started.push_back({s.endpoint, now - s.age});
@@ -92,8 +89,8 @@
 void PeerLink::Send(int to, coordination::LeaseRole duty, const coordination::CoordinationMessage& word) {
   if (!socket_.is_open()) return;
   error_code ignored;
-  socket_.send_to(asio::buffer(coordination::ToBytes(config_.all[config_.self].name, duty, word)),
-                  config_.all[static_cast<std::size_t>(to)].address, 0, ignored);
+  socket_.send_to(asio::buffer(coordination::ToBytes(config_.peers[config_.self].name, duty, word)),
+                  config_.peers[static_cast<std::size_t>(to)].address, 0, ignored);
   ++sent_;
 }
 
@@ -112,15 +109,15 @@
   beat.recovered = gossip.recovered;
   beat.zone_load = handlers_.sights();
   const auto bytes = EncodeHeartbeat(beat);
-  for (std::size_t i = 0; socket_.is_open() && i < config_.all.size(); ++i) {
+  for (std::size_t i = 0; socket_.is_open() && i < config_.peers.size(); ++i) {
     if (i == config_.self) continue;
     error_code ignored;  // what can't be sent is as lost as what gets lost
-    socket_.send_to(asio::buffer(bytes), config_.all[i].address, 0, ignored);
+    socket_.send_to(asio::buffer(bytes), config_.peers[i].address, 0, ignored);
     ++sent_;
   }
   Tell({});
   handlers_.beat(static_cast<double>(random_() >> 11) / 9007199254740992.0);
-  timer_.expires_after(core::ToDuration(config_.beat));
+  timer_.expires_after(core::ToDuration(config_.heartbeat_interval));
   timer_.async_wait([this](error_code ec) {
     if (!ec) Beats();
   });
@@ -133,20 +130,20 @@
   for (std::size_t i = 0; i < view_.members().size(); ++i) {
     const MembershipView::Member& p = view_.members()[i];
     if (i == config_.self) continue;
-    nlohmann::json entry = {{"name", p.name}, {"address", ToText(config_.all[i].address)}};
+    nlohmann::json entry = {{"name", p.name}, {"address", ToText(config_.peers[i].address)}};
     if (p.configured > 0) {
       entry["heard_ms_ago"] = static_cast<std::int64_t>(now - p.received_at);
-      entry["hears_this"] = now - p.acknowledged_at < config_.silent;
+      entry["hears_this"] = now - p.acknowledged_at < config_.suspect_timeout;
       entry["same_list"] = p.list_hash == view_.list_hash();
     }
     peers.push_back(std::move(entry));
   }
-  return {{"name", config_.all[config_.self].name},
+  return {{"name", config_.peers[config_.self].name},
           {"listed", look.configured},
           {"present", look.present},
           {"place", look.rank},
           {"in_touch", now < look.quorum_until},
-          {"subset", config_.subset},
+          {"subset", config_.subset_size},
           {"beats", {{"sent", sent_}, {"heard", heard_}, {"old", view_.dropped()}, {"strange", strange_}}},
           {"peers", std::move(peers)}};
 }
--- a/src/membership/peers_config.cpp
+++ b/src/membership/peers_config.cpp
@@ -1,91 +1,128 @@
 #include "membership/peers_config.hpp"
 
 #include <algorithm>
-#include <fstream>
-#include <sstream>
+#include <utility>
 
-#include "edge/table_reader.hpp"
+#include "config_file/table_reader.hpp"
+#include "config_file/toml_file.hpp"
 
 namespace meadowyard::membership {
 namespace {
 
-constexpr std::size_t kMostPeers = 128;  // each hears all others: the work grows with their square
-constexpr std::size_t kMostName = 64;
+using config_file::TableReader;
 
-boost::asio::ip::udp::endpoint Datagrams(const boost::asio::ip::tcp::endpoint& at) {
-  return {at.address(), at.port()};
+constexpr std::size_t kMaxPeers = 128;  // heartbeats go from each to all: traffic grows with the square
+constexpr std::size_t kMaxNameLength = 64;
+
+// The addresses of the file are read as those of TCP; datagrams have the same form.
+boost::asio::ip::udp::endpoint ToUdp(const boost::asio::ip::tcp::endpoint& endpoint) {
+  return {endpoint.address(), endpoint.port()};
 }
 
-}  // namespace
+void ReadPeer(TableReader& table, std::vector<PeerAddress>& peers) {
+  PeerAddress peer{.name = table.ReadString("name"), .address = ToUdp(table.ReadAddress("address"))};
+  if (peer.name.empty() || peer.name.size() > kMaxNameLength) {
+    table.Fail("name", "must have 1 to 64 characters");
+  }
+  for (const PeerAddress& other : peers) {
+    if (other.name == peer.name) table.Fail("name", "'" + peer.name + "' is there twice");
+    if (other.address == peer.address) table.Fail("address", "is that of '" + other.name + "' too");
+  }
+  peers.push_back(std::move(peer));
+}
 
-PeersConfig ParsePeers(const std::string& path, const std::string& text,
-                       const std::optional<std::string>& name) {
-  PeersConfig config;
-  config.path = path;
-  toml::table file;
-  try {
-    file = toml::parse(text, path);
-  } catch (const toml::parse_error& error) {
-    throw EdgeError(path + ":" + std::to_string(error.source().begin.line) + ": " +
-                    std::string(error.description()));
+void ReadPeerList(TableReader& file, std::vector<PeerAddress>& peers) {
+  file.ReadTables("peer", [&](TableReader& table) { ReadPeer(table, peers); });
+  if (peers.empty()) file.Fail("peer", "missing: list each gateway, this one too, under [[peer]]");
+  if (peers.size() > kMaxPeers) file.Fail("peer", "more than 128 gateways");
+}
+
+// Index of this gateway among `peers`.
+std::size_t ReadSelf(TableReader& table, const std::vector<PeerAddress>& peers,
+                     const std::optional<std::string>& name) {
+  const std::string own_name = table.ReadString("name", name.value_or(peers.front().name));
+  const auto self = std::find_if(peers.begin(), peers.end(),
+                                 [&](const PeerAddress& peer) { return peer.name == own_name; });
+  if (self == peers.end()) {
+    table.Fail("name", own_name.empty() ? "missing, and NODE_NAME is not set"
+                                        : "no [[peer]] is named '" + own_name + "', as this gateway is");
   }
-  TableReader in(file, path, "");
-  in.Tables("peer", [&](TableReader& each) {
-    PeerAddress peer{each.Text("name"), Datagrams(each.Address("address"))};
-    if (peer.name.empty() || peer.name.size() > kMostName) each.Fail("name", "must have 1 to 64 characters");
-    for (const PeerAddress& other : config.all) {
-      if (other.name == peer.name) each.Fail("name", "'" + peer.name + "' is there twice");
-      if (other.address == peer.address) each.Fail("address", "is that of '" + other.name + "' too");
-    }
-    config.all.push_back(std::move(peer));
-  });
-  if (config.all.empty()) in.Fail("peer", "missing: list each gateway, this one too, under [[peer]]");
-  if (config.all.size() > kMostPeers) in.Fail("peer", "more than 128 gateways");
-  auto peers = in.Table("peers");
-  if (!peers) in.Fail("peers", "missing");
-  const std::string own = peers->Text("name", name.value_or(config.all.front().name));
-  const auto self = std::find_if(config.all.begin(), config.all.end(),
-                                 [&](const PeerAddress& peer) { return peer.name == own; });
-  if (self == config.all.end()) {
-    peers->Fail("name", own.empty() ? "missing, and NODE_NAME is not set"
-                                    : "no [[peer]] is named '" + own + "', as this gateway is");
+  return static_cast<std::size_t>(self - peers.begin());
+}
+
+void ReadTimes(TableReader& table, PeersConfig& config) {
+  config.heartbeat_interval =
+      table.ReadNumber("beat_ms", config.heartbeat_interval, {.min = 20, .max = 10000});
+  const Millis suspect_fallback = std::max(config.suspect_timeout, 3 * config.heartbeat_interval);
+  config.suspect_timeout = table.ReadNumber("silent_ms", suspect_fallback, {.min = 50, .max = 60000});
+  if (config.suspect_timeout < 2 * config.heartbeat_interval) {
+    table.Fail("silent_ms", "must be two beats at the least");
   }
-  config.self = static_cast<std::size_t>(self - config.all.begin());
-  config.listen = peers->Has("listen") ? Datagrams(peers->Address("listen")) : self->address;
-  config.subset = static_cast<int>(peers->Count("subset", 0, 0, 1e6));
-  config.beat = peers->Number("beat_ms", config.beat, 20, 10000);
-  config.silent = peers->Number("silent_ms", std::max(config.silent, 3 * config.beat), 50, 60000);
-  if (config.silent < 2 * config.beat) peers->Fail("silent_ms", "must be two beats at the least");
-  config.gone = peers->Number("gone_ms", std::max(config.gone, 2 * config.silent), 50, 600000);
-  if (config.gone < config.silent) peers->Fail("gone_ms", "must not be below silent_ms");
-  config.share_list = peers->Flag("share_list", false);
-  config.lease = peers->Number("lease_ms", config.lease, 100, 600000);
-  if (config.lease < 4 * config.beat) peers->Fail("lease_ms", "must be four beats at the least");
-  peers->Finish();
-  if (auto zones = in.Table("zones")) {
-    ZoneRoutingSettings& l = config.locality;
-    l.enabled = true;
-    l.overprovisioning = zones->Number("spare", l.overprovisioning, 1, 100);
-    l.panic_threshold = zones->Number("panic", l.panic_threshold, 0, 1);
-    l.max_overflow = zones->Number("most_extra", l.max_overflow, 0, 100);
-    config.zones.hold = zones->Number("hold_ms", config.zones.hold, 100, 300000);
-    config.zones.fresh = config.silent;
-    config.zones.spare = l.overprovisioning;
-    zones->Finish();
+  const Millis dead_fallback = std::max(config.dead_timeout, 2 * config.suspect_timeout);
+  config.dead_timeout = table.ReadNumber("gone_ms", dead_fallback, {.min = 50, .max = 600000});
+  if (config.dead_timeout < config.suspect_timeout) table.Fail("gone_ms", "must not be below silent_ms");
+}
+
+void ReadPeers(TableReader& table, PeersConfig& config, const std::optional<std::string>& name) {
+  config.self = ReadSelf(table, config.peers, name);
+  config.listen =
+      table.Has("listen") ? ToUdp(table.ReadAddress("listen")) : config.peers[config.self].address;
+  config.subset_size = static_cast<int>(table.ReadCount("subset", 0, {.min = 0, .max = 1e6}));
+  ReadTimes(table, config);
+  config.shares_endpoint_list = table.ReadBool("share_list", false);
+  config.lease_term = table.ReadNumber("lease_ms", config.lease_term, {.min = 100, .max = 600000});
+  if (config.lease_term < 4 * config.heartbeat_interval) {
+    table.Fail("lease_ms", "must be four beats at the least");
   }
+  table.Finish();
+}
+
+void ReadZones(TableReader& table, PeersConfig& config) {
+  ZoneRoutingSettings& routing = config.zone_routing;
+  routing.enabled = true;
+  routing.overprovisioning = table.ReadNumber("spare", routing.overprovisioning, {.min = 1, .max = 100});
+  routing.panic_threshold = table.ReadNumber("panic", routing.panic_threshold, {.min = 0, .max = 1});
+  routing.max_overflow = table.ReadNumber("most_extra", routing.max_overflow, {.min = 0, .max = 100});
+  config.zone_health.hold = table.ReadNumber("hold_ms", config.zone_health.hold, {.min = 100, .max = 300000});
+  config.zone_health.fresh = config.suspect_timeout;
+  config.zone_health.spare = routing.overprovisioning;
+  table.Finish();
+}
+
+void ReadRegions(TableReader& file, ZoneRoutingSettings& routing) {
   int region = 0;
-  in.Tables("region", [&](TableReader& each) {
-    if (!config.locality.enabled) each.Fail("zones", "there is no [zones]");
-    for (const std::string& zone : each.Texts("zones")) {
-      if (!config.locality.regions.emplace(zone, region).second)
-        each.Fail("zones", "'" + zone + "' is in two regions");
+  file.ReadTables("region", [&](TableReader& table) {
+    if (!routing.enabled) table.Fail("zones", "there is no [zones]");
+    for (const std::string& zone : table.ReadStrings("zones")) {
+      const bool added = routing.regions.emplace(zone, region).second;
+      if (!added) table.Fail("zones", "'" + zone + "' is in two regions");
     }
     ++region;
   });
-  in.Finish();
+}
+
+}  // namespace
+
+PeersConfig ParsePeers(const std::string& path, const std::string& text,
+                       const std::optional<std::string>& name) {
+  const toml::table root = config_file::ParseToml(text, path);
+  TableReader file(root, path, "");
+  PeersConfig config;
+  config.path = path;
+  ReadPeerList(file, config.peers);
+  auto peers = file.ReadTable("peers");
+  if (!peers) file.Fail("peers", "missing");
+  ReadPeers(*peers, config, name);
+  if (auto zones = file.ReadTable("zones")) ReadZones(*zones, config);
+  ReadRegions(file, config.zone_routing);
+  file.Finish();
   return config;
 }
 
+PeersConfig LoadPeers(const std::string& path, const std::optional<std::string>& name) {
+  return ParsePeers(path, config_file::ReadText(path), name);
+}
+
 bool IsPeersFile(const std::string& path) {
   try {
     const toml::table file = toml::parse_file(path);
@@ -95,11 +132,4 @@
   }
 }
 
-PeersConfig LoadPeers(const std::string& path, const std::optional<std::string>& name) {
-  std::ifstream stream(path);
-  std::ostringstream text;
-  if (!stream || !(text << stream.rdbuf())) throw EdgeError(path + ": can't be read");
-  return ParsePeers(path, text.str(), name);
-}
-
 }  // namespace meadowyard::membership
--- a/src/membership/peers_config.hpp
+++ b/src/membership/peers_config.hpp
@@ -1,5 +1,6 @@
-// The operators' file of the gateways that stand in front of the same hosts: who they are, and how many hosts
-// each uses. The same file serves all of them. docs/peers.md explains each key.
+/// @file
+/// The operators' file of the gateways in front of the same endpoints: who they are, and how many endpoints
+/// each uses. The same file serves all of them; docs/peers.md explains each key.
 #ifndef MEADOWYARD_MEMBERSHIP_PEERS_CONFIG_HPP_
 #define MEADOWYARD_MEMBERSHIP_PEERS_CONFIG_HPP_
 
@@ -11,36 +12,33 @@
 
 #include "coordination/zone_health_evaluator.hpp"
 #include "meadowyard/policy.hpp"
+#include "membership/peer_address.hpp"
 
 namespace meadowyard::membership {
 
-struct PeerAddress {
-  std::string name;
-  boost::asio::ip::udp::endpoint address;  // where it is reached, and where its beats come from
-};
-
 struct PeersConfig {
-  std::string path;
-  std::vector<PeerAddress> all;  // this gateway included; new ones come last
-  std::size_t self = 0;          // which of them this one is
-  boost::asio::ip::udp::endpoint listen;
-  int subset = 0;                // hosts that each gateway uses; 0: as without peers
-  Millis beat = 200;             // from one word to the others to the next
-  Millis silent = 1000;          // without a word by then a peer is out of touch
-  Millis gone = 3000;            // and counts as away by then, and its places go to others
-  bool share_list = false;       // one gateway at a time reads the list of hosts for all
-  Millis lease = 3000;           // that it has the duty for, until it asks again
-  ZoneRoutingSettings locality;  // requests go by zones, as the gateways agree
-  coordination::ZoneHealthEvaluator::Times zones;        // when they do
+  std::string path;                       ///< Of the file.
+  std::vector<PeerAddress> peers;         ///< All gateways in the file's order, this one included.
+  std::size_t self = 0;                   ///< Index of this gateway among them.
+  boost::asio::ip::udp::endpoint listen;  ///< Where this gateway receives datagrams.
+  int subset_size = 0;                    ///< Endpoints that each gateway uses; 0: the default subset.
+  Millis heartbeat_interval = 200;
+  Millis suspect_timeout = 1000;      ///< A peer without an acknowledgement for so long is out of contact.
+  Millis dead_timeout = 3000;         ///< For so long: it is absent.
+  bool shares_endpoint_list = false;  ///< One gateway at a time reads service discovery for all.
+  Millis lease_term = 3000;           ///< Of the lease-held roles.
+  ZoneRoutingSettings zone_routing;   ///< Enabled if the file has [zones].
+  coordination::ZoneHealthEvaluator::Times zone_health;  ///< With [zones] only.
 };
 
-// Throws EdgeError (file, line and field). `name` is this gateway's, unless the file says so; without one the
-// file is checked, as the first gateway's.
+/// Reads a peers file. `name` is this gateway's, unless the file itself says so; without one the file is
+/// checked as the first gateway's. Throws ConfigurationError naming file, line and key.
 PeersConfig LoadPeers(const std::string& path, const std::optional<std::string>& name);
+/// The same for a text that was read already.
 PeersConfig ParsePeers(const std::string& path, const std::string& text,
                        const std::optional<std::string>& name);
-// Whether a file is of this sort: it has [peers] or [[peer]].
-bool IsPeersFile(const std::string& path);
+/// Whether a TOML file is a peers file: it has [peers] or [[peer]]. False if it can't be parsed.
+[[nodiscard]] bool IsPeersFile(const std::string& path);
 
 }  // namespace meadowyard::membership
 
