--- a/src/app/cluster_service.cpp
+++ b/src/app/cluster_service.cpp
@@ -21,31 +21,45 @@
   Close();  // first: its address is free then
   if (peers_->shares_endpoint_list) ShareList();
   if (peers_->zone_routing.enabled) ShareZones();
-  link_.emplace(io_, *peers_,
-                membership::PeerLink::Handlers{
-                    handlers_.gossip, handlers_.news,
-                    [this](int from, coordination::LeaseRole duty,
-                           const coordination::CoordinationMessage& word) { Heard(from, duty, word); },
-                    [this](double chance) { Beat(chance); },
-                    [this] { return zones_ ? std::optional(handlers_.sights()) : std::nullopt; },
-                    [this](int from, const ZoneLoadReport& sights) {
-                      if (zones_) zones_->OnLoadReport(core::Now(), from, sights);
-                    }});
+  Delegate& delegate = *this;  // a private base: only this class can convert to it
+  protocol_.emplace(io_, *peers_, delegate);
 }
 
-void ClusterService::Heard(int from, coordination::LeaseRole duty,
-                           const coordination::CoordinationMessage& word) {
-  if (duty == coordination::LeaseRole::kEndpointList && duty_) duty_->OnMessage(core::Now(), from, word);
-  if (duty == coordination::LeaseRole::kZoneState && zones_) zones_->OnMessage(core::Now(), from, word);
+Gossip ClusterService::CollectGossip() { return handlers_.gossip(); }
+
+std::optional<ZoneLoadReport> ClusterService::CollectZoneLoad() {
+  if (!zones_) return std::nullopt;
+  return handlers_.sights();
+}
+
+void ClusterService::OnMembershipUpdate(MembershipUpdate update) { handlers_.news(std::move(update)); }
+
+void ClusterService::OnZoneLoad(int member, const ZoneLoadReport& report) {
+  if (zones_) zones_->OnLoadReport(core::Now(), member, report);
+}
+
+void ClusterService::OnCoordinationMessage(int member, coordination::LeaseRole role,
+                                           const coordination::CoordinationMessage& message) {
+  if (role == coordination::LeaseRole::kEndpointList && duty_) {
+    duty_->OnMessage(core::Now(), member, message);
+  }
+  if (role == coordination::LeaseRole::kZoneState && zones_) {
+    zones_->OnMessage(core::Now(), member, message);
+  }
+}
+
+void ClusterService::OnHeartbeatSent(double jitter) {
+  if (duty_) duty_->Tick(core::Now(), jitter);
+  if (zones_) zones_->Tick(core::Now(), jitter, handlers_.sights());
 }
 
-void ClusterService::Beat(double chance) {
-  if (duty_) duty_->Tick(core::Now(), chance);
-  if (zones_) zones_->Tick(core::Now(), chance, handlers_.sights());
+void ClusterService::Send(int member, coordination::LeaseRole role,
+                          const coordination::CoordinationMessage& message) {
+  if (protocol_) protocol_->SendCoordinationMessage(member, role, message);
 }
 
 void ClusterService::Close() {
-  link_.reset();
+  protocol_.reset();
   zones_.reset();
   if (!duty_) return;
   duty_.reset();
@@ -61,7 +75,7 @@
                 static_cast<coordination::FencingToken>(core::Now()), discovery_.revision(),
                 coordination::EndpointListLeader::Handlers{
                     [this](int to, const coordination::CoordinationMessage& word) {
-                      if (link_) link_->Send(to, coordination::LeaseRole::kEndpointList, word);
+                      Send(to, coordination::LeaseRole::kEndpointList, word);
                     },
                     handlers_.whole,
                     [this](discovery::EndpointList list) {
@@ -81,7 +95,7 @@
                  static_cast<coordination::FencingToken>(core::Now()),
                  coordination::ZoneStateCoordinator::Handlers{
                      [this](int to, const coordination::CoordinationMessage& word) {
-                       if (link_) link_->Send(to, coordination::LeaseRole::kZoneState, word);
+                       Send(to, coordination::LeaseRole::kZoneState, word);
                      },
                      handlers_.agreed});
 }
@@ -108,8 +122,8 @@
 }
 
 std::optional<std::string> ClusterService::Status(const Policy::Stats& census) const {
-  if (!link_) return std::nullopt;
-  nlohmann::json status = link_->Status();
+  if (!protocol_) return std::nullopt;
+  nlohmann::json status = protocol_->Status();
   status["shared_among"] = census.active_gateways;
   status["hosts_used"] = census.subset;
   if (duty_) status["list"] = duty_->Status(core::Now());
--- a/src/app/cluster_service.hpp
+++ b/src/app/cluster_service.hpp
@@ -11,11 +11,11 @@
 #include "coordination/zone_state_coordinator.hpp"
 #include "discovery/discovery.hpp"
 #include "meadowyard/policy.hpp"
-#include "membership/peer_transport.hpp"
+#include "membership/membership_protocol.hpp"
 
 namespace meadowyard {
 
-class ClusterService {
+class ClusterService : private membership::MembershipProtocol::Delegate {
  public:
   struct Handlers {
     std::function<Gossip()> gossip;
@@ -45,10 +45,18 @@
   std::optional<std::string> Status(const Policy::Stats& census) const;
 
  private:
+  Gossip CollectGossip() override;
+  std::optional<ZoneLoadReport> CollectZoneLoad() override;
+  void OnMembershipUpdate(MembershipUpdate update) override;
+  void OnZoneLoad(int member, const ZoneLoadReport& report) override;
+  void OnCoordinationMessage(int member, coordination::LeaseRole role,
+                             const coordination::CoordinationMessage& message) override;
+  void OnHeartbeatSent(double jitter) override;
+
   void ShareList();
   void ShareZones();
-  void Heard(int from, coordination::LeaseRole duty, const coordination::CoordinationMessage& word);
-  void Beat(double chance);
+  // Sends a message of a lease-held role, if the protocol has begun.
+  void Send(int member, coordination::LeaseRole role, const coordination::CoordinationMessage& message);
 
   boost::asio::io_context& io_;
   discovery::DiscoveryClient& discovery_;
@@ -56,7 +64,7 @@
   std::optional<membership::PeersConfig> peers_;
   std::optional<coordination::EndpointListLeader> duty_;
   std::optional<coordination::ZoneStateCoordinator> zones_;
-  std::optional<membership::PeerLink> link_;
+  std::optional<membership::MembershipProtocol> protocol_;
 };
 
 }  // namespace meadowyard
--- a/src/membership/peer_transport.hpp
+++ b/src/membership/peer_transport.hpp
@@ -1,60 +1,49 @@
-// The gateway's words to its peers and theirs to it, over UDP: one socket, one timer.
+/// @file
+/// Datagrams to and from the other gateways: one UDP socket, without any knowledge of what it carries.
 #ifndef MEADOWYARD_MEMBERSHIP_PEER_TRANSPORT_HPP_
 #define MEADOWYARD_MEMBERSHIP_PEER_TRANSPORT_HPP_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/udp.hpp>
-#include <boost/asio/steady_timer.hpp>
+#include <cstddef>
 #include <cstdint>
 #include <functional>
-#include <nlohmann/json_fwd.hpp>
-#include <random>
-
-#include "coordination/message_codec.hpp"
-#include "membership/heartbeat_codec.hpp"
-#include "membership/membership_view.hpp"
-#include "membership/peers_config.hpp"
+#include <span>
 
 namespace meadowyard::membership {
 
-class PeerLink {
+/// Longest datagram that is received completely, in bytes; the rest of a longer one is lost.
+constexpr std::size_t kMaxDatagramBytes = 8192;
+
+class PeerTransport {
  public:
-  struct Handlers {
-    std::function<Gossip()> gossip;  // what the others are to be told
-    std::function<void(MembershipUpdate)> news;
-    std::function<void(int from, coordination::LeaseRole duty, const coordination::CoordinationMessage& word)>
-        duty;                                 // by the list's order
-    std::function<void(double chance)> beat;  // after each
-    std::function<std::optional<ZoneLoadReport>()>
-        sights;  // to tell the others; nothing where they need none
-    std::function<void(int from, const ZoneLoadReport& sights)> seen;
-  };
-  // Begins at once. While the address is taken, by the process before this one perhaps, it tries again.
-  PeerLink(boost::asio::io_context& io, PeersConfig config, Handlers handlers);
-
-  const PeersConfig& config() const { return config_; }
-  void Send(int to, coordination::LeaseRole duty, const coordination::CoordinationMessage& word);
-  // For operators: who was heard, and what this gateway takes from that.
-  nlohmann::json Status() const;
+  using Endpoint = boost::asio::ip::udp::endpoint;
+  using Receiver = std::function<void(const Endpoint& sender, std::span<const std::uint8_t> datagram)>;
+
+  /// @param address    where datagrams are received, and what they are sent from
+  /// @param receiver   called for each datagram that arrives; the bytes are valid during the call only
+  /// Does not open the socket; see OpenIfClosed. Must not outlive `io`.
+  PeerTransport(boost::asio::io_context& io, const Endpoint& address, Receiver receiver);
+
+  /// Opens the socket unless it is open. To be called again and again: the address may be in use, by the
+  /// predecessor in a hot restart for instance. The first failure is logged.
+  void OpenIfClosed();
+  [[nodiscard]] bool is_open() const { return socket_.is_open(); }
+  /// Sends one datagram if the socket is open. One that can't be sent is lost, as any datagram may be.
+  void Send(const Endpoint& to, std::span<const std::uint8_t> datagram);
+  std::uint64_t sent() const { return sent_; }  ///< Datagrams handed to the socket.
 
  private:
-  void Open();
-  void Read();
-  void Got(std::size_t size);
-  void Beats();
-  void Tell(Gossip gossip);
-
-  const PeersConfig config_;
-  const Handlers handlers_;
-  MembershipView view_;
+  void Receive();
+
+  const Endpoint address_;
+  const Receiver receiver_;
   boost::asio::ip::udp::socket socket_;
-  boost::asio::steady_timer timer_;
-  boost::asio::ip::udp::endpoint from_;
-  std::array<std::uint8_t, kMaxHeartbeatBytes> buffer_;
-  std::mt19937_64 random_;
-  std::uint64_t sent_ = 0, heard_ = 0, strange_ = 0;
-  bool told_taken_ = false;
+  Endpoint sender_;  // of the datagram in `buffer_`
+  std::array<std::uint8_t, kMaxDatagramBytes> buffer_;
+  std::uint64_t sent_ = 0;
+  bool failure_logged_ = false;
 };
 
 }  // namespace meadowyard::membership
--- a/tests/membership/peers_config_test.cpp
+++ b/tests/membership/peers_config_test.cpp
@@ -35,7 +35,7 @@
       {PeersTable() + "[[peer]]\nname = 'b'\naddress = '127.0.0.1:7001'\n",
        "peers.name: no [[peer]] is named 'a'"},
       {"[peers]\nsubset = -1\n" + OnePeer(), "f:2: peers.subset: must be a number"},
-      {"[peers]\nbeats = 1\n" + OnePeer(), "f:2: peers.beats: unknown key"},
+      {"[peers]\nheartbeats = 1\n" + OnePeer(), "f:2: peers.heartbeats: unknown key"},
       {"[peers]\nbeat_ms = 100\nsilent_ms = 150\n" + OnePeer(), "f:3: peers.silent_ms: must be two beats"},
       {PeersTable() + "[[peer]]\nname = 'a'\naddress = 'here'\n", "'here' is not an address and port"},
       {"[peers\n", "f:1: "},
