--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -105,17 +105,7 @@
                   doors);
   }
   if (config.admin_address) {
-    admin_.emplace(
-        io, *config.admin_address, operations::AdminServer::Limits(),
-        operations::AdminServer::Handlers{
-            [this] { return listed_ && !stopping_; },
-            [this] { return core_.metrics().ToJson(core_.policy().CollectStats()); },
-            [this](const std::string& host, bool out) {
-              return ChangeMaintenance({.host_id = host, .in_maintenance = out});
-            },
-            [this] { return edge_ ? std::optional(edge_->front().Status().dump()) : std::nullopt; },
-            [this](std::uint64_t id) { return edge_ && edge_->front().CloseOne(id); },
-            [this] { return peers_.Status(core_.policy().CollectStats()); }});
+    admin_.emplace(io, *config.admin_address, operations::AdminServer::Limits(), *this);
     hot_restart_.emplace(io, config.handover_path,
                          predecessor ? std::move(predecessor->channel) : operations::Descriptor(), *this);
   }
@@ -254,6 +244,16 @@
   core_.Configure(Fitted());
 }
 
+std::string Service::MetricsJson() { return core_.metrics().ToJson(core_.policy().CollectStats()); }
+
+std::optional<std::string> Service::TunnelsJson() {
+  return edge_ ? std::optional(edge_->front().Status().dump()) : std::nullopt;
+}
+
+bool Service::CloseTunnel(std::uint64_t id) { return edge_ && edge_->front().CloseOne(id); }
+
+std::optional<std::string> Service::PeersJson() { return peers_.Status(core_.policy().CollectStats()); }
+
 bool Service::ChangeMaintenance(const operations::MaintenanceChange& change) {
   const bool known = core_.policy().IsKnown(change.host_id) || (edge_ && edge_->Knows(change.host_id));
   if (!known) return false;
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -22,6 +22,7 @@
 #include "core/gateway.hpp"
 #include "discovery/discovery.hpp"
 #include "fronts/http/client_server.hpp"
+#include "operations/admin_delegate.hpp"
 #include "operations/admin_server.hpp"
 #include "operations/handover_state.hpp"
 #include "operations/hot_restart_coordinator.hpp"
@@ -32,7 +33,7 @@
 
 namespace meadowyard::app {
 
-class Service : public operations::HotRestartDelegate {
+class Service : public operations::AdminDelegate, public operations::HotRestartDelegate {
  public:
   // Listens and watches at once. Throws std::exception if the settings or the address can't work.
   // With an operators' file it takes tunnels too.
@@ -73,7 +74,13 @@
   void Stop(std::function<void()> done);
 
  private:
-  bool ChangeMaintenance(const operations::MaintenanceChange& change);
+  // operations::AdminDelegate
+  bool IsReady() override { return listed_ && !stopping_; }
+  std::string MetricsJson() override;
+  bool ChangeMaintenance(const operations::MaintenanceChange& change) override;
+  std::optional<std::string> TunnelsJson() override;
+  bool CloseTunnel(std::uint64_t id) override;
+  std::optional<std::string> PeersJson() override;
 
   // operations::HotRestartDelegate
   std::string SerializeState() override;
--- /dev/null
+++ b/src/operations/admin_session.cpp
@@ -0,0 +1,95 @@
+#include "operations/admin_session.hpp"
+
+#include <boost/asio/buffer.hpp>
+#include <boost/beast/http/error.hpp>
+#include <boost/beast/http/read.hpp>
+#include <boost/beast/http/write.hpp>
+#include <utility>
+
+#include "core/clock.hpp"
+#include "operations/admin_router.hpp"
+
+namespace meadowyard::operations {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using boost::system::error_code;
+using tcp = asio::ip::tcp;
+
+AdminSession::AdminSession(tcp::socket socket, Timeouts timeouts, Callbacks callbacks)
+    : socket_(std::move(socket)),
+      timer_(socket_.get_executor()),
+      timeouts_(timeouts),
+      callbacks_(std::move(callbacks)) {
+  parser_.header_limit(kMaxRequestSize);
+  parser_.body_limit(kMaxRequestSize);
+}
+
+void AdminSession::Start() {
+  error_code ignored;
+  socket_.set_option(tcp::no_delay(true), ignored);
+  StartTimer(timeouts_.request);
+  http::async_read(socket_, buffer_, parser_,
+                   [self = shared_from_this()](error_code ec, std::size_t) { self->OnRead(ec); });
+}
+
+void AdminSession::OnRead(error_code ec) {
+  if (closed_ || answered_) return;
+  if (!ec) return Reply(callbacks_.on_request(parser_.get()));
+  // A caller that ended half a request can still read what is wrong with it; one that reset the connection,
+  // or sent nothing, can't.
+  const bool malformed = ec.category() == http::make_error_code(http::error::bad_version).category();
+  if (!malformed || ec == http::error::end_of_stream) return Close();
+  Reply(PlainTextReply(http::status::bad_request, ec.message() + "\n"));
+}
+
+void AdminSession::Reply(HttpResponse response) {
+  answered_ = true;
+  response_ = std::move(response);
+  response_.keep_alive(false);
+  response_.prepare_payload();
+  StartTimer(timeouts_.request);
+  http::async_write(socket_, response_,
+                    [self = shared_from_this()](error_code ec, std::size_t) { self->OnReplied(ec); });
+}
+
+void AdminSession::OnReplied(error_code ec) {
+  if (closed_) return;
+  if (!ec) socket_.shutdown(tcp::socket::shutdown_send, ec);
+  if (ec) return Close();
+  StartTimer(timeouts_.linger);
+  DiscardInput();
+}
+
+// Closing with bytes unread would reset the connection, and the caller could lose the response.
+void AdminSession::DiscardInput() {
+  socket_.async_read_some(asio::buffer(discarded_), [self = shared_from_this()](error_code ec, std::size_t) {
+    if (self->closed_) return;
+    if (ec) return self->Close();
+    self->DiscardInput();
+  });
+}
+
+void AdminSession::StartTimer(Millis timeout) {
+  timer_.expires_after(core::ToDuration(timeout));
+  timer_.async_wait([self = shared_from_this()](error_code ec) {
+    if (!ec) self->OnTimeout();
+  });
+}
+
+void AdminSession::OnTimeout() {
+  if (closed_) return;
+  if (answered_) return Close();
+  Reply(PlainTextReply(http::status::request_timeout, "the call is not whole\n"));
+}
+
+void AdminSession::Close() {
+  if (std::exchange(closed_, true)) return;
+  error_code ignored;
+  socket_.close(ignored);
+  const auto self = shared_from_this();  // the owner may hold the last other reference
+  callbacks_.on_closed(self);
+  timer_.cancel();
+}
+
+}  // namespace meadowyard::operations
--- a/src/operations/handover_state.cpp
+++ b/src/operations/handover_state.cpp
@@ -72,29 +72,29 @@
 };
 
 std::string SerializeHandoverState(const HandoverState& state) {
-  const json whole = {{"file", state.configuration},
-                      {"discovery", state.discovery_address},
-                      {"hosts", discovery::SerializeEndpointList(state.hosts)},
-                      {"revision_known", state.revision_known},
-                      {"learned", state.learned},
-                      {"descriptors", state.descriptors},
-                      {"edge", state.edge_configuration}};
-  return whole.dump(-1, ' ', false, json::error_handler_t::replace);
+  const json stored = {{"file", state.configuration},
+                       {"discovery", state.discovery_address},
+                       {"hosts", discovery::SerializeEndpointList(state.hosts)},
+                       {"revision_known", state.revision_known},
+                       {"learned", state.learned},
+                       {"descriptors", state.descriptors},
+                       {"edge", state.edge_configuration}};
+  return stored.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
 std::optional<HandoverState> ParseHandoverState(const std::string& text) {
   try {
-    const json whole = json::parse(text);
+    const json stored = json::parse(text);
     HandoverState state;
-    state.configuration = whole.at("file").get<std::string>();
-    state.discovery_address = whole.at("discovery").get<std::string>();
-    const auto hosts = discovery::ParseEndpointList(whole.at("hosts").get<std::string>());
+    state.configuration = stored.at("file").get<std::string>();
+    state.discovery_address = stored.at("discovery").get<std::string>();
+    const auto hosts = discovery::ParseEndpointList(stored.at("hosts").get<std::string>());
     if (!hosts) return std::nullopt;
     state.hosts = *hosts;
-    state.revision_known = whole.at("revision_known").get<bool>();
-    state.learned = whole.at("learned").get<LearnedState>();
-    state.descriptors = whole.at("descriptors").get<std::size_t>();
-    state.edge_configuration = whole.value("edge", "");
+    state.revision_known = stored.at("revision_known").get<bool>();
+    state.learned = stored.at("learned").get<LearnedState>();
+    state.descriptors = stored.at("descriptors").get<std::size_t>();
+    state.edge_configuration = stored.value("edge", "");
     return state;
   } catch (const json::exception&) {
     return std::nullopt;
--- a/src/operations/handover_state.hpp
+++ b/src/operations/handover_state.hpp
@@ -1,8 +1,10 @@
-// What one process tells the next of itself, as JSON text.
-#ifndef MEADOWYARD_STATE_TEXT_HPP_
-#define MEADOWYARD_STATE_TEXT_HPP_
+/// @file
+/// What a process hands over to its successor, and its stored form: JSON whose names are shared with other
+/// versions of the program and never change.
+#ifndef MEADOWYARD_OPERATIONS_HANDOVER_STATE_HPP_
+#define MEADOWYARD_OPERATIONS_HANDOVER_STATE_HPP_
 
-#include <nlohmann/json_fwd.hpp>
+#include <cstddef>
 #include <optional>
 #include <string>
 
@@ -11,20 +13,22 @@
 
 namespace meadowyard::operations {
 
+/// What a successor has to know to go on where this process stands.
 struct HandoverState {
-  std::string configuration;      // the configuration in force
-  std::string discovery_address;  // its address
-  discovery::EndpointList hosts;  // as discovery told them
-  bool revision_known = false;
+  std::string configuration;      ///< The configuration in force, as JSON text.
+  std::string discovery_address;  ///< Of service discovery, "ADDRESS:PORT".
+  discovery::EndpointList hosts;  ///< As service discovery described them.
+  bool revision_known = false;    ///< Whether `hosts.revision` is valid.
   LearnedState learned;
-  std::size_t descriptors = 0;     // that the process holds
-  std::string edge_configuration;  // the operators' file in force; empty: none
+  std::size_t descriptors = 0;     ///< Held by the process.
+  std::string edge_configuration;  ///< The text of the operators' file in force; empty: none.
 };
 
+/// The stored form.
 std::string SerializeHandoverState(const HandoverState& state);
-// Nothing if the text is broken, or of a version that says less.
-std::optional<HandoverState> ParseHandoverState(const std::string& text);
+/// Nothing if the text is malformed or lacks a field. Fields of later versions are ignored.
+[[nodiscard]] std::optional<HandoverState> ParseHandoverState(const std::string& text);
 
 }  // namespace meadowyard::operations
 
-#endif  // MEADOWYARD_STATE_TEXT_HPP_
+#endif  // MEADOWYARD_OPERATIONS_HANDOVER_STATE_HPP_
--- /dev/null
+++ b/src/operations/query_string.hpp
@@ -0,0 +1,21 @@
+/// @file
+/// The query of a request target (RFC 3986, section 3.4) with parameters as HTML forms write them.
+#ifndef MEADOWYARD_OPERATIONS_QUERY_STRING_HPP_
+#define MEADOWYARD_OPERATIONS_QUERY_STRING_HPP_
+
+#include <optional>
+#include <string>
+#include <string_view>
+
+namespace meadowyard::operations {
+
+/// Decodes "%XX" and "+"; nothing if the text is malformed.
+[[nodiscard]] std::optional<std::string> PercentDecode(std::string_view text);
+
+/// The decoded value of the only parameter `name` in "NAME=VALUE&..."; nothing if it is missing, empty,
+/// malformed or given more than once.
+[[nodiscard]] std::optional<std::string> FindQueryParameter(std::string_view query, std::string_view name);
+
+}  // namespace meadowyard::operations
+
+#endif  // MEADOWYARD_OPERATIONS_QUERY_STRING_HPP_
--- a/src/operations/settings_reloader.hpp
+++ b/src/operations/settings_reloader.hpp
@@ -1,32 +1,42 @@
-// Settings that change while the gateway serves: SIGHUP has the file read again, checked whole, and
-// on_accepted or turned down.
-#ifndef MEADOWYARD_LIVE_SETTINGS_HPP_
-#define MEADOWYARD_LIVE_SETTINGS_HPP_
+/// @file
+/// Settings that change while the gateway serves.
+#ifndef MEADOWYARD_OPERATIONS_SETTINGS_RELOADER_HPP_
+#define MEADOWYARD_OPERATIONS_SETTINGS_RELOADER_HPP_
 
 #include <functional>
+#include <memory>
+#include <nlohmann/json_fwd.hpp>
+#include <string>
 
 #include "config/config.hpp"
 
 namespace meadowyard::operations {
 
+/// Reads the configuration file again on request (SIGHUP). A file that can't work in any part is
+/// rejected and changes nothing.
 class SettingsReloader {
  public:
-  struct Handlers {
+  struct Callbacks {
+    /// Applies a configuration that was read. If it throws a std::exception, the configuration is rejected.
     std::function<void(const config::Configuration&)> on_accepted;
-    std::function<void(const std::string& why)> on_rejected;  // one line that names the field
+    /// `reason` is one line that names the field.
+    std::function<void(const std::string& reason)> on_rejected;
   };
-  // `variable` as for LoadConfig; `in_force` is what the gateway was started with.
-  SettingsReloader(std::function<const char*(const char*)> variable, const config::Configuration& in_force,
-                   Handlers handlers);
+  /// Looks up an environment variable; null if it is not set.
+  using VariableLookup = std::function<const char*(const char* name)>;
 
+  /// `in_force` is the configuration that the gateway was started with.
+  SettingsReloader(VariableLookup variable, const config::Configuration& in_force, Callbacks callbacks);
+
+  /// Reads the file and calls exactly one of the callbacks.
   void Reload();
 
  private:
-  const std::function<const char*(const char*)> variable_;
-  const Handlers handlers_;
+  const VariableLookup variable_;
+  const Callbacks callbacks_;
   std::shared_ptr<const nlohmann::json> file_in_force_;
 };
 
 }  // namespace meadowyard::operations
 
-#endif  // MEADOWYARD_LIVE_SETTINGS_HPP_
+#endif  // MEADOWYARD_OPERATIONS_SETTINGS_RELOADER_HPP_
--- a/tests/operations/admin_reply_test.cpp
+++ b/tests/operations/admin_reply_test.cpp
@@ -32,15 +32,23 @@
 std::string Put(const std::string& target) { return "PUT " + target + " HTTP/1.1\r\nHost: a\r\n\r\n"; }
 
 // A gateway that has tunnels and peers only if `complete`.
-struct Gateway {
-  explicit Gateway(bool complete_gateway)
-      : complete(complete_gateway),
-        server(io, Loopback(), operations::AdminServer::Limits(),
-               {[this] { return ready; }, [] { return std::string("{\"sends\":1}"); },
-                [this](const std::string& host, bool) { return host == "web 1"; },
-                [this] { return complete ? std::optional<std::string>("[7]") : std::nullopt; },
-                [](std::uint64_t id) { return id == 7; },
-                [this] { return complete ? std::optional<std::string>("{}") : std::nullopt; }}) {}
+struct Gateway : operations::AdminDelegate {
+  explicit Gateway(bool complete_gateway,
+                   operations::AdminServer::Limits limits = operations::AdminServer::Limits())
+      : complete(complete_gateway), server(io, Loopback(), limits, *this) {}
+
+  bool IsReady() override { return ready; }
+  std::string MetricsJson() override { return "{\"sends\":1}"; }
+  bool ChangeMaintenance(const operations::MaintenanceChange& change) override {
+    return change.host_id == "web 1";
+  }
+  std::optional<std::string> TunnelsJson() override {
+    return complete ? std::optional<std::string>("[7]") : std::nullopt;
+  }
+  bool CloseTunnel(std::uint64_t id) override { return id == 7; }
+  std::optional<std::string> PeersJson() override {
+    return complete ? std::optional<std::string>("{}") : std::nullopt;
+  }
 
   // All bytes until the end of the connection.
   std::string Call(const std::string& request) {
@@ -122,18 +130,10 @@
 }
 
 TEST(AdminReplies, NameARequestThatIsNotCompletedInTime) {
-  asio::io_context io;
   operations::AdminServer::Limits limits;
-  limits.request_timeout = 1;
-  operations::AdminServer server(io, Loopback(), limits, {});
-  tcp::socket socket(io);
-  socket.connect(server.address());
-  asio::write(socket, asio::buffer(std::string("GET /sta")));
-  std::string reply;
-  bool ended = false;
-  asio::async_read(socket, asio::dynamic_buffer(reply), [&](error_code, std::size_t) { ended = true; });
-  EXPECT_TRUE(RunUntil(io, [&] { return ended; }));
-  EXPECT_EQ(reply, TextReply("408 Request Timeout", "the call is not whole\n"));
+  limits.timeouts.request = 1;
+  Gateway gateway(true, limits);
+  EXPECT_EQ(gateway.Call("GET /sta"), TextReply("408 Request Timeout", "the call is not whole\n"));
 }
 
 }  // namespace
--- a/tests/operations/admin_test.cpp
+++ b/tests/operations/admin_test.cpp
@@ -1,4 +1,5 @@
-// Where operators call, and what they are shown: the listener on its own, and on a gateway with hosts.
+/// @file
+/// The listener for operators' calls: on its own, and on a gateway with hosts.
 #include <gtest/gtest.h>
 
 #include "core/metrics.hpp"
@@ -9,21 +10,25 @@
 namespace meadowyard::testing {
 namespace {
 
-struct Listener {
+struct Listener : operations::AdminDelegate {
   explicit Listener(operations::AdminServer::Limits limits = operations::AdminServer::Limits())
-      : server(io, Loopback(), limits,
-               {[this] { return ready; }, [] { return std::string("{}"); },
-                [this](const std::string& host, bool out) {
-                  maintained.emplace_back(host, out);
-                  return host != "nobody";
-                },
-                nullptr, nullptr}) {}
+      : server(io, Loopback(), limits, *this) {}
   unsigned Ask(const std::string& text) {
     Client client(io, server.address());
     client.Send(text);
     return client.Await().result_int();
   }
 
+  bool IsReady() override { return ready; }
+  std::string MetricsJson() override { return "{}"; }
+  bool ChangeMaintenance(const operations::MaintenanceChange& change) override {
+    maintained.emplace_back(change.host_id, change.in_maintenance);
+    return change.host_id != "nobody";
+  }
+  std::optional<std::string> TunnelsJson() override { return std::nullopt; }
+  bool CloseTunnel(std::uint64_t) override { return false; }
+  std::optional<std::string> PeersJson() override { return std::nullopt; }
+
   asio::io_context io;
   bool ready = true;
   std::vector<std::pair<std::string, bool>> maintained;
@@ -63,7 +68,7 @@
 TEST(AdminServer, AnswersBesideCallersWhoSayNothing) {
   operations::AdminServer::Limits limits;
   limits.max_sessions = 4;
-  limits.request_timeout = 60000;
+  limits.timeouts.request = 60000;
   Listener listener(limits);
   std::vector<std::unique_ptr<Client>> silent;
   for (int i = 0; i < 12; ++i) {
@@ -78,7 +83,7 @@
 
 TEST(AdminServer, EndsHalfACall) {
   operations::AdminServer::Limits limits;
-  limits.request_timeout = 1;
+  limits.timeouts.request = 1;
   Listener listener(limits);
   Client half(listener.io, listener.server.address());
   half.Send("GET /sta");
--- a/tests/operations/settings_reloader_test.cpp
+++ b/tests/operations/settings_reloader_test.cpp
@@ -20,7 +20,7 @@
             {"settings", TestSettings()}};
     Write(file.dump());
     settings.emplace(Variable(), meadowyard::config::LoadConfiguration(Variable()),
-                     operations::SettingsReloader::Handlers{
+                     operations::SettingsReloader::Callbacks{
                          [this](const meadowyard::config::Configuration& config) { taken.push_back(config); },
                          [this](const std::string& why) { refused.push_back(why); }});
   }
