--- a/src/coordination/lease.cpp
+++ b/src/coordination/lease.cpp
@@ -52,7 +52,7 @@
   // several.
   next_ = now + times_.retry_interval * (IsHeld(now) ? 1 : 1 + kSpread * chance);
   highest_ = asked_ = (highest_ / kGateways + 1) * kGateways + static_cast<FencingToken>(self_);
-  attempt_ = Attempt::kAsking;
+  attempt_ = Attempt::kPreparing;
   open_.clear();
   taken_.clear();
   ToAll({Message::Type::kPrepareRequest, asked_, 0, -1}, now, out);
@@ -76,15 +76,15 @@
       granted_until_ = now + times_.term * (1 + times_.max_clock_drift);
       return Send(from, {Type::kProposeResponse, message.token, 0, from}, now, out);
     case Type::kPrepareResponse:
-      if (attempt_ != Attempt::kAsking || message.token != asked_) return;
+      if (attempt_ != Attempt::kPreparing || message.token != asked_) return;
       if (message.owner >= 0 && message.owner != self_) return;
       open_.insert(from);
       if (!Enough(open_)) return;
-      attempt_ = Attempt::kProposeRequesting;
+      attempt_ = Attempt::kProposing;
       offered_until_ = now + times_.term * (1 - times_.max_clock_drift);
       return ToAll({Type::kProposeRequest, asked_, 0, self_}, now, out);
     case Type::kProposeResponse:
-      if (attempt_ != Attempt::kProposeRequesting || message.token != asked_) return;
+      if (attempt_ != Attempt::kProposing || message.token != asked_) return;
       taken_.insert(from);
       if (!Enough(taken_)) return;
       attempt_ = Attempt::kNone;
--- a/src/coordination/lease.hpp
+++ b/src/coordination/lease.hpp
@@ -85,7 +85,7 @@
   int granted_to_ = -1;
   Millis granted_until_ = -1e15;
   // As one that asks.
-  enum class Attempt { kNone, kAsking, kProposeRequesting } attempt_ = Attempt::kNone;
+  enum class Attempt { kNone, kPreparing, kProposing } attempt_ = Attempt::kNone;
   FencingToken highest_, asked_ = 0;
   std::set<int> open_, taken_;
   Millis offered_until_ = 0;
--- a/src/coordination/zone_health_evaluator.cpp
+++ b/src/coordination/zone_health_evaluator.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 void ZoneHealthEvaluator::OnLoadReport(Millis now, int gateway, const ZoneLoadReport& sights) {
-  seen_[gateway] = {now, sights};
+  observations_[gateway] = {now, sights};
 }
 
 std::map<std::string, ZoneHealthEvaluator::Now> ZoneHealthEvaluator::Look(Millis now) {
@@ -35,7 +35,7 @@
   };
   std::map<std::string, Sum> near, far;  // as those see it that stand there, and all others that go there
   std::map<std::string, Now> all;
-  for (const auto& [gateway, seen] : seen_) {
+  for (const auto& [gateway, seen] : observations_) {
     // Whoever can't be heard for now still has its clients, who come along when it is heard again.
     if (now - seen.at < kDemandMemory) all[seen.sights.zone].demand += seen.sights.arrival_rate;
     if (now - seen.at >= times_.fresh) continue;
@@ -91,7 +91,7 @@
 
 std::optional<std::vector<ZoneAgreement::Zone>> ZoneHealthEvaluator::Evaluate(
     Millis now, const std::vector<ZoneAgreement::Zone>& agreed) {
-  const auto fresh = std::count_if(seen_.begin(), seen_.end(),
+  const auto fresh = std::count_if(observations_.begin(), observations_.end(),
                                    [&](const auto& s) { return now - s.second.at < times_.fresh; });
   if (2 * fresh <= gateways_) return std::nullopt;
   auto all = Look(now);
--- a/src/coordination/zone_health_evaluator.hpp
+++ b/src/coordination/zone_health_evaluator.hpp
@@ -35,7 +35,7 @@
                                                            const std::vector<ZoneAgreement::Zone>& agreed);
 
  private:
-  struct ObserveToken {
+  struct Observation {
     Millis at = 0;
     ZoneLoadReport sights;
   };
@@ -56,7 +56,7 @@
 
   const int gateways_;
   const Times times_;
-  std::map<int, ObserveToken> seen_;  // by gateway
+  std::map<int, Observation> observations_;  // by gateway
   std::map<std::string, Zone> zones_;
   Millis changed_at_ = 0, shifted_at_ = 0;  // anything that is agreed; some zone's health, and so traffic
 };
