--- a/tests/decision/policy_driver.hpp
+++ b/tests/decision/policy_driver.hpp
@@ -110,7 +110,7 @@
   std::map<std::string, int> Serve(int n, Millis latency = 50, const std::string& cls = "view") {
     std::map<std::string, int> taken;
     for (int i = 0; i < n; ++i) {
-      const std::string id = "warm" + std::to_string(warmed++);
+      const std::string id = "warm" + std::to_string(next_request_number++);
       const std::string server = SentTo(Arrive(id, cls));
       ++taken[server];
       now += latency;
@@ -142,7 +142,7 @@
 
   Policy policy;
   Millis now = 1000;
-  int warmed = 0;
+  int next_request_number = 0;
   std::vector<StartAttempt> sent;
 };
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -200,7 +200,7 @@
       const auto serve = [&](int count) {
         int at = 0;
         for (int i = 0; i < count; ++i) {
-          const std::string id = "r" + std::to_string(g.warmed++),
+          const std::string id = "r" + std::to_string(g.next_request_number++),
                             server = PolicyDriver::SentTo(g.Arrive(id));
           g.now += 10;
           at += server == "s1";
