--- a/include/meadowyard/error.hpp
+++ b/include/meadowyard/error.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The errors that a package may throw across its interface. Everything else that is thrown comes from a
-/// library. A function that may fail in ordinary use returns a value that says so instead.
+/// Exception types that a package may throw across its interface. Any other exception comes from a library.
+/// A function whose failure is part of normal operation does not throw; its return value reports the failure.
 #ifndef MEADOWYARD_ERROR_HPP_
 #define MEADOWYARD_ERROR_HPP_
 
@@ -9,28 +9,28 @@
 
 namespace meadowyard {
 
-/// Base of all errors of this project. `what()` is one line for the operator.
+/// Base class of all exceptions of this project. `what()` is a one-line message for the operator.
 class Error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-/// A configuration that cannot work. `what()` names the file and the line where they are known, and the key.
+/// An invalid configuration. `what()` names the key, and the file and line if they are known.
 class ConfigurationError : public Error {
  public:
-  /// A problem with one key, where no file is known: "KEY: PROBLEM".
+  /// Reports a problem with one key when the file is not known. The message is "KEY: PROBLEM".
   ConfigurationError(const std::string& key, const std::string& problem) : Error(key + ": " + problem) {}
-  /// A message that already names file, line and key.
+  /// Takes a complete message, which already names the file, the line and the key.
   explicit ConfigurationError(const std::string& message) : Error(message) {}
 };
 
-/// A message of a peer or a client that breaks its protocol.
+/// A message from a peer or a client violates its protocol.
 class ProtocolError : public Error {
  public:
   using Error::Error;
 };
 
-/// State handed over or stored by another process that cannot be read.
+/// State that another process stored or handed over can't be parsed.
 class StateError : public Error {
  public:
   using Error::Error;
