--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -47,7 +47,7 @@
 bool LoadBalancer::IsAllowed(const RequestState& request, const EndpointRecord& endpoint, Millis now) const {
   const TrafficClassSettings& settings = classes_[request.class_index].settings;
   if (settings.idempotency != Idempotency::kIdempotencyKey) return true;
-  const AttemptState* const first = request.FirstExecuted();
+  const AttemptState* const first = request.FirstPossiblyExecuted();
   if (first == nullptr || first->is_in_flight) return true;  // none, or the one that is on its way there
   if (now - first->started_at >= settings.dedup_window) return false;
   const Endpoint& executed_by = first->endpoint->info;
--- a/src/decision/request_state.hpp
+++ b/src/decision/request_state.hpp
@@ -53,12 +53,12 @@
   }
   /// The first attempt that may have been executed: it decides where a request with an idempotency key may
   /// still go. Null: none was.
-  [[nodiscard]] const AttemptState* FirstExecuted() const {
+  [[nodiscard]] const AttemptState* FirstPossiblyExecuted() const {
     const auto found = std::find_if(attempts.begin(), attempts.end(),
                                     [](const AttemptState& attempt) { return attempt.may_have_run; });
     return found == attempts.end() ? nullptr : &*found;
   }
-  [[nodiscard]] bool WasNeverExecuted() const { return FirstExecuted() == nullptr; }
+  [[nodiscard]] bool WasNeverExecuted() const { return FirstPossiblyExecuted() == nullptr; }
   /// The attempt of this number, or null.
   [[nodiscard]] AttemptState* FindAttempt(int number) {
     const bool exists = number >= 0 && number < static_cast<int>(attempts.size());
