--- a/src/decision/request_processor.hpp
+++ b/src/decision/request_processor.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The life cycle of requests and their attempts, from a request's arrival to its final answer.
+/// Handles requests and their attempts from a request's arrival to its final answer: admission, dispatch,
+/// retries and rejection.
 #ifndef MEADOWYARD_DECISION_REQUEST_PROCESSOR_HPP_
 #define MEADOWYARD_DECISION_REQUEST_PROCESSOR_HPP_
 
@@ -23,7 +24,7 @@
 
 namespace meadowyard::decision {
 
-/// The mechanisms that the life of a request passes through. All outlive the RequestProcessor.
+/// The mechanisms of the decision module that RequestProcessor uses. All must outlive it.
 struct RequestMechanisms {
   const Settings& settings;
   RandomSource& random;
@@ -39,9 +40,10 @@
   ArrivalRate& arrivals;
 };
 
+/// Owns the open requests. Emits the StartAttempt, CancelAttempt, Reject and Fail actions.
 class RequestProcessor {
  public:
-  explicit RequestProcessor(const RequestMechanisms& mechanisms) : use_(mechanisms) {}
+  explicit RequestProcessor(const RequestMechanisms& mechanisms) : mechanisms_(mechanisms) {}
 
   void OnRequest(const Request& event, Millis now);
   void OnBodyComplete(const RequestBodyComplete& event, Millis now);
@@ -49,38 +51,41 @@
   void OnOutcome(AttemptOutcome outcome, Millis now);
   void OnClientDisconnected(const ClientDisconnected& event);
 
-  /// Dispatches the requests that wait, as tokens and endpoints allow.
+  /// Dispatches queued requests while there are tokens and endpoints with capacity.
   void DispatchQueued(Millis now);
-  /// Answers the requests that can't wait any longer.
+  /// Sends the final answer to the requests that have waited in a queue for as long as they may.
   void ExpireQueued(Millis now);
 
-  /// Whether an open request may still go to an endpoint; true if there is no such request.
+  /// Whether the open request with this id may still be sent to an endpoint; true if there is no such
+  /// request.
   [[nodiscard]] bool IsAllowed(const std::string& request, const EndpointRecord& endpoint, Millis now) const;
   [[nodiscard]] std::size_t open_count() const { return requests_.size(); }
 
  private:
-  RequestState& Open(const Request& event, TrafficClass& traffic_class, Millis time_left, Millis now);
-  // Whether a retry arrives so late that an answer can't be within the objective of the client's first
-  // attempt.
+  RequestState& OpenRequest(const Request& event, TrafficClass& traffic_class, Millis time_left, Millis now);
+  // Whether the request is a client's retry that arrives so late that its answer can't meet the latency
+  // objective, counted from the client's first attempt. Also updates the class's observed time budget.
   bool IsLateRetry(TrafficClass& traffic_class, Millis time_left, bool is_marked_retry) const;
-  [[nodiscard]] bool IsHopeless(const RequestState& request, bool is_late_marked_retry, Millis now) const;
+  [[nodiscard]] bool IsRejectedOnArrival(const RequestState& request, bool is_late_marked_retry,
+                                         Millis now) const;
+  // Whether the limit of attempts in flight allows another one.
   [[nodiscard]] bool HasCapacity() const;
   bool TryDispatch(RequestState& request, Millis now);
   void Enqueue(RequestState& request);
   void Dispatch(RequestState& request, EndpointRecord& endpoint, Millis now);
   void EndAttempt(AttemptState& attempt, AttemptResult result);
-  void Learn(EndpointRecord& endpoint, const RequestState& request, const AttemptOutcome& outcome,
-             Millis now);
-  void RetryOrAnswer(RequestState& request, const AttemptOutcome& outcome, Millis now);
+  void UpdateEstimates(EndpointRecord& endpoint, const RequestState& request, const AttemptOutcome& outcome,
+                       Millis now);
+  void RetryOrSendFinalAnswer(RequestState& request, const AttemptOutcome& outcome, Millis now);
   [[nodiscard]] bool MayRetry(const RequestState& request, const AttemptOutcome& outcome, Millis now) const;
-  void Answer(RequestState& request);
+  void SendFinalAnswer(RequestState& request);
   [[nodiscard]] Millis RetryAfter() const;
-  void ReleaseIfFinished(RequestState& request);
+  void EraseIfFinished(RequestState& request);
 
-  RequestMechanisms use_;
+  RequestMechanisms mechanisms_;
   RequestTable requests_;
   RetryBudget retry_budget_;
-  int attempts_in_flight_ = 0;  // without the tunnels that are open
+  int attempts_in_flight_ = 0;  // excluding open tunnels
 };
 
 }  // namespace meadowyard::decision
--- a/src/decision/request_table.hpp
+++ b/src/decision/request_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The open requests, by id.
+/// Stores the open requests by id.
 #ifndef MEADOWYARD_DECISION_REQUEST_TABLE_HPP_
 #define MEADOWYARD_DECISION_REQUEST_TABLE_HPP_
 
@@ -11,9 +11,10 @@
 
 namespace meadowyard::decision {
 
+/// Owns the RequestStates. A request's address stays the same until it is erased.
 class RequestTable {
  public:
-  /// The request of this id, or null.
+  /// The request with this id, or null.
   RequestState* Find(const std::string& id) {
     const auto found = requests_.find(id);
     return found == requests_.end() ? nullptr : &found->second;
@@ -22,13 +23,13 @@
     const auto found = requests_.find(id);
     return found == requests_.end() ? nullptr : &found->second;
   }
-  /// A new request; its id must not be in the table.
+  /// Adds a request; its id must not be in the table yet.
   RequestState& Add(const std::string& id) {
     RequestState& request = requests_[id];
     request.id = id;
     return request;
   }
-  /// `request` is gone afterwards.
+  /// Removes a request; `request` is a dangling reference afterwards.
   void Erase(const RequestState& request) {
     const std::string id = request.id;
     requests_.erase(id);
@@ -36,7 +37,8 @@
   [[nodiscard]] std::size_t size() const { return requests_.size(); }
 
  private:
-  std::unordered_map<std::string, RequestState> requests_;  // looked up, never iterated
+  // Never iterated: the order of an unordered_map would make the actions depend on the standard library.
+  std::unordered_map<std::string, RequestState> requests_;
 };
 
 }  // namespace meadowyard::decision
--- a/src/decision/retry_budget.hpp
+++ b/src/decision/retry_budget.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The retry budget: first attempts earn a share of a retry each, so that retries can't multiply the load.
+/// The retry budget: limits retries to a fraction of the arriving requests, so that retries can't multiply
+/// the load on endpoints that fail or are overloaded.
 #ifndef MEADOWYARD_DECISION_RETRY_BUDGET_HPP_
 #define MEADOWYARD_DECISION_RETRY_BUDGET_HPP_
 
@@ -7,18 +8,20 @@
 
 namespace meadowyard::decision {
 
+/// Balance of retries that may be sent. Each arriving request adds kRetriesPerRequest to it.
 class RetryBudget {
  public:
-  /// A request has arrived.
+  /// To be called for each request that arrives.
   void Earn() { balance_ = std::min(balance_ + kRetriesPerRequest, kMaxBalance); }
-  [[nodiscard]] bool CanAfford(double price) const { return balance_ >= price; }
-  void Spend(double price) { balance_ -= price; }
+  /// Whether the balance covers a retry; `cost` is in retries.
+  [[nodiscard]] bool CanAfford(double cost) const { return balance_ >= cost; }
+  void Spend(double cost) { balance_ -= cost; }
 
  private:
   static constexpr double kRetriesPerRequest = 0.1;
   static constexpr double kMaxBalance = 20;  // retries
 
-  double balance_ = 1;
+  double balance_ = 1;  // retries
 };
 
 }  // namespace meadowyard::decision
