--- a/src/decision/action_writer.hpp
+++ b/src/decision/action_writer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Where the mechanisms put the actions that the gateway is to carry out.
+/// Collects the actions that the mechanisms of the decision module emit while they handle an event.
 #ifndef MEADOWYARD_DECISION_ACTION_WRITER_HPP_
 #define MEADOWYARD_DECISION_ACTION_WRITER_HPP_
 
@@ -11,15 +11,17 @@
 
 namespace meadowyard::decision {
 
+/// Appends actions to the vector of the current Policy::Handle call, and limits the rate of log entries.
 class ActionWriter {
  public:
-  /// Actions are appended to `actions` until the next call.
+  /// Actions are appended to `actions`, which is not owned, until the next call.
   void WriteTo(std::vector<Action>& actions) { actions_ = &actions; }
   template <typename ConcreteAction>
   void Emit(ConcreteAction&& action) {
     actions_->emplace_back(std::forward<ConcreteAction>(action));
   }
-  /// A log entry; at most a few a second, so that faults don't flood the log.
+  /// Emits a log entry, or drops it if the last one is less than kMinLogInterval ago: many faults at once
+  /// must not flood the log.
   void LogLimited(Log entry, Millis now) {
     if (now < no_log_before_) return;
     no_log_before_ = now + kMinLogInterval;
@@ -27,7 +29,7 @@
   }
 
  private:
-  static constexpr Millis kMinLogInterval = 200;
+  static constexpr Millis kMinLogInterval = 200;  // ms, at most 5 entries per second
 
   std::vector<Action>* actions_ = nullptr;
   Millis no_log_before_ = kNever;
--- a/src/decision/decision_engine.cpp
+++ b/src/decision/decision_engine.cpp
@@ -11,19 +11,22 @@
 namespace meadowyard::decision {
 namespace {
 
-constexpr Millis kSweepInterval = 10;  // ms between sweeps of the queues
+constexpr Millis kSweepInterval = 10;  // ms between two runs of Sweep
 constexpr const char* kSweepTimer = "sweep";
-constexpr Millis kMaxSweepTime = 10000;  // ms that one sweep counts at the most
-constexpr double kGoldenRatio = 0.6180339887498949;
+// ms that one sweep adds to the observation time of warm endpoints at most: the time since the last sweep is
+// meaningless at the first sweep, and too long after the process was paused.
+constexpr Millis kMaxTimePerSweep = 10000;
+constexpr double kGoldenRatioFraction = 0.6180339887498949;  // fractional part of the golden ratio
 
 Settings Validated(Settings settings) {
   ValidateSettings(settings);
   return settings;
 }
 
-// Gateways that know their index start at multiples of the golden ratio: any run of them covers the ring.
+// The position of a gateway's subset on the ring of endpoints, from 0 to 1. Multiples of the golden ratio
+// spread gateways with consecutive indices evenly over the ring; a gateway without an index starts at random.
 double RingPosition(int gateway_index, RandomSource& random) {
-  return gateway_index < 0 ? random.Uniform() : std::fmod(gateway_index * kGoldenRatio, 1.0);
+  return gateway_index < 0 ? random.Uniform() : std::fmod(gateway_index * kGoldenRatioFraction, 1.0);
 }
 
 }  // namespace
@@ -34,7 +37,7 @@
       membership_(settings_),
       subset_(settings_, membership_, registry_, RingPosition(settings_.gateway_index, random_)),
       tracker_(settings_, membership_, subset_, registry_, random_, *this),
-      polls_(settings_, random_),
+      poll_schedule_(settings_, random_),
       zones_(settings_, registry_, tracker_.slow_start()),
       quotas_(membership_),
       rate_(membership_, subset_, registry_, actions_),
@@ -51,7 +54,7 @@
                  .queues = queues_,
                  .quotas = quotas_,
                  .rate = rate_,
-                 .arrivals = arrivals_}) {
+                 .arrivals = arrival_rate_}) {
   ApplySettings();
 }
 
@@ -59,23 +62,23 @@
   actions_.WriteTo(actions);
   AdvanceClock(now);
   if (!std::exchange(started_, true)) Sweep();
-  std::visit([this](const auto& concrete) { On(concrete); }, event);
+  std::visit([this](const auto& concrete_event) { OnEvent(concrete_event); }, event);
   requests_.DispatchQueued(now_);
 }
 
 void DecisionEngine::AdvanceClock(Millis now) {
-  Millis passed = 0;
+  Millis elapsed = 0;
   if (started_) {
-    passed = std::max(0.0, now - now_);  // 0 for not a number, too
+    elapsed = std::max(0.0, now - now_);  // also 0 if `now` is NaN
     now_ = std::max(now_, now);
   } else {
     now_ = std::isfinite(now) ? now : 0;
   }
-  rate_.Advance(now_, passed);
-  arrivals_.Decay(passed);
+  rate_.Advance(now_, elapsed);
+  arrival_rate_.Decay(elapsed);
 }
 
-// What was learned of a class, and what a tenant has used of its quota, stays.
+// Keeps the estimates of each class and the quota that each tenant has used.
 void DecisionEngine::ApplySettings() {
   tracker_.Configure();
   classes_.Configure(settings_.classes, TotalPriorityWeight(settings_), now_);
@@ -84,39 +87,39 @@
 
 void DecisionEngine::Sweep() {
   actions_.Emit(SetTimer{kSweepInterval, kSweepTimer});
-  if (polls_.TakeDue(now_)) actions_.Emit(PollEndpoints{});
-  const Millis passed = std::min(kMaxSweepTime, now_ - std::exchange(swept_at_, now_));
-  tracker_.slow_start().LearnReferenceRate(registry_, passed, arrivals_.per_ms(), now_);
+  if (poll_schedule_.TakeDue(now_)) actions_.Emit(PollEndpoints{});
+  const Millis elapsed = std::min(kMaxTimePerSweep, now_ - std::exchange(last_sweep_at_, now_));
+  tracker_.slow_start().LearnReferenceRate(registry_, elapsed, arrival_rate_.per_ms(), now_);
   requests_.ExpireQueued(now_);
 }
 
-EndpointRegistry::RestartHandler DecisionEngine::ResetOnRestart() {
+EndpointRegistry::RestartHandler DecisionEngine::MakeRestartHandler() {
   return [this](EndpointRecord& endpoint, Millis started_at) { tracker_.Reset(endpoint, started_at, now_); };
 }
 
-void DecisionEngine::On(const EndpointUpdate& event) {
+void DecisionEngine::OnEvent(const EndpointUpdate& event) {
   if (event.kind == EndpointUpdate::Kind::kFailed) {
-    polls_.OnFailure(now_);
+    poll_schedule_.OnFailure(now_);
     return;
   }
-  polls_.OnSuccess();
-  registry_.Apply(event, now_, ResetOnRestart());
+  poll_schedule_.OnSuccess();
+  registry_.Apply(event, now_, MakeRestartHandler());
   subset_.Select();
 }
 
-void DecisionEngine::On(const MaintenanceStarted& event) {
+void DecisionEngine::OnEvent(const MaintenanceStarted& event) {
   if (!registry_.StartMaintenance(event.endpoint)) return;
   actions_.LogLimited({.event = Log::Event::kMaintenanceStarted, .endpoint = event.endpoint}, now_);
   subset_.Select();
 }
 
-void DecisionEngine::On(const MaintenanceEnded& event) {
-  if (!registry_.EndMaintenance(event.endpoint, now_, ResetOnRestart())) return;
+void DecisionEngine::OnEvent(const MaintenanceEnded& event) {
+  if (!registry_.EndMaintenance(event.endpoint, now_, MakeRestartHandler())) return;
   actions_.LogLimited({.event = Log::Event::kMaintenanceEnded, .endpoint = event.endpoint}, now_);
   subset_.Select();
 }
 
-void DecisionEngine::On(const SettingsChanged& event) {
+void DecisionEngine::OnEvent(const SettingsChanged& event) {
   ValidateSettings(event.settings);  // throws before anything is changed
   settings_ = event.settings;
   ApplySettings();
@@ -124,12 +127,12 @@
   subset_.Select();
 }
 
-void DecisionEngine::On(const TunnelCountChanged& event) {
+void DecisionEngine::OnEvent(const TunnelCountChanged& event) {
   EndpointRecord* const endpoint = registry_.Find(event.endpoint);
   if (endpoint != nullptr) endpoint->tunnels = std::max(0, endpoint->tunnels + event.delta);
 }
 
-void DecisionEngine::On(const MembershipUpdate& event) {
+void DecisionEngine::OnEvent(const MembershipUpdate& event) {
   if (membership_.Apply(event, now_)) subset_.Select();
   tracker_.ApplyGossip(event.gossip, now_);
 }
@@ -178,16 +181,16 @@
   tracker_.Save(state);
   classes_.Save(state);
   rate_.Save(state);
-  arrivals_.Save(state);
+  arrival_rate_.Save(state);
   return state;
 }
 
-void DecisionEngine::On(const LearnedState& event) {
+void DecisionEngine::OnEvent(const LearnedState& event) {
   registry_.Restore(event);
   tracker_.Restore(event);
   classes_.Restore(event, now_);
   rate_.Restore(event);
-  arrivals_.Restore(event);
+  arrival_rate_.Restore(event);
   subset_.Select();
 }
 
--- a/src/decision/decision_engine.hpp
+++ b/src/decision/decision_engine.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Wires the mechanisms of the decision module together and passes each event to the one that it concerns.
+/// Owns the mechanisms of the decision module, connects them and passes each event to the one that handles
+/// it.
 #ifndef MEADOWYARD_DECISION_DECISION_ENGINE_HPP_
 #define MEADOWYARD_DECISION_DECISION_ENGINE_HPP_
 
@@ -27,11 +28,11 @@
 
 namespace meadowyard::decision {
 
-/// See Policy for what each public function promises.
+/// Implements Policy, which documents the public functions.
 class DecisionEngine : private EjectionObserver {
  public:
   DecisionEngine(Settings settings, std::uint64_t seed);
-  // The mechanisms hold references to each other.
+  // Neither copied nor moved: the mechanisms hold references to each other.
   DecisionEngine(const DecisionEngine&) = delete;
   DecisionEngine& operator=(const DecisionEngine&) = delete;
   ~DecisionEngine() = default;
@@ -45,7 +46,7 @@
   [[nodiscard]] Policy::Stats CollectStats() const;
   [[nodiscard]] Gossip CollectGossip() const { return tracker_.CollectGossip(now_); }
   [[nodiscard]] ZoneLoadReport CollectZoneLoad() const {
-    return zones_.CollectLoad(arrivals_.per_ms(), now_);
+    return zones_.CollectLoad(arrival_rate_.per_ms(), now_);
   }
   [[nodiscard]] const std::vector<Policy::ZoneWeight>& zone_weights() const { return zones_.weights(); }
   [[nodiscard]] LearnedState Snapshot() const;
@@ -54,25 +55,29 @@
   void OnEjected(const EndpointRecord& endpoint) override;
   void OnRestored(const EndpointRecord& endpoint) override;
 
-  void On(const Request& event) { requests_.OnRequest(event, now_); }
-  void On(const RequestBodyComplete& event) { requests_.OnBodyComplete(event, now_); }
-  void On(const ResponseStarted& event) { requests_.OnResponseStarted(event, now_); }
-  void On(const AttemptOutcome& event) { requests_.OnOutcome(event, now_); }
-  void On(const ClientDisconnected& event) { requests_.OnClientDisconnected(event); }
-  void On(const TimerExpired&) { Sweep(); }
-  void On(const EndpointUpdate& event);
-  void On(const MaintenanceStarted& event);
-  void On(const MaintenanceEnded& event);
-  void On(const SettingsChanged& event);
-  void On(const LearnedState& event);
-  void On(const TunnelCountChanged& event);
-  void On(const MembershipUpdate& event);
-  void On(const ZoneAgreement& event) { zones_.Apply(event); }
+  void OnEvent(const Request& event) { requests_.OnRequest(event, now_); }
+  void OnEvent(const RequestBodyComplete& event) { requests_.OnBodyComplete(event, now_); }
+  void OnEvent(const ResponseStarted& event) { requests_.OnResponseStarted(event, now_); }
+  void OnEvent(const AttemptOutcome& event) { requests_.OnOutcome(event, now_); }
+  void OnEvent(const ClientDisconnected& event) { requests_.OnClientDisconnected(event); }
+  void OnEvent(const TimerExpired&) { Sweep(); }
+  void OnEvent(const EndpointUpdate& event);
+  void OnEvent(const MaintenanceStarted& event);
+  void OnEvent(const MaintenanceEnded& event);
+  void OnEvent(const SettingsChanged& event);
+  void OnEvent(const LearnedState& event);
+  void OnEvent(const TunnelCountChanged& event);
+  void OnEvent(const MembershipUpdate& event);
+  void OnEvent(const ZoneAgreement& event) { zones_.Apply(event); }
 
+  // Sets the time of the event. A `now` that is earlier than the last one, or NaN, leaves the clock
+  // unchanged.
   void AdvanceClock(Millis now);
   void ApplySettings();
+  // Runs periodically: polls service discovery if due, updates slow start and answers expired requests.
   void Sweep();
-  [[nodiscard]] EndpointRegistry::RestartHandler ResetOnRestart();
+  // A handler that resets the estimates of an endpoint that has restarted.
+  [[nodiscard]] EndpointRegistry::RestartHandler MakeRestartHandler();
 
   Settings settings_;
   RandomSource random_;
@@ -81,18 +86,18 @@
   EndpointRegistry registry_;
   SubsetSelector subset_;
   EndpointTracker tracker_;
-  PollSchedule polls_;
+  PollSchedule poll_schedule_;
   ZoneRouter zones_;
   TrafficClassTable classes_;
   TenantQuotas quotas_;
   RateController rate_;
-  ArrivalRate arrivals_;
+  ArrivalRate arrival_rate_;
   LoadBalancer balancer_;
   ClassQueues queues_;
   RequestProcessor requests_;
-  bool started_ = false;
+  bool started_ = false;  // whether the first event was handled
   Millis now_ = 0;
-  Millis swept_at_ = 0;
+  Millis last_sweep_at_ = 0;
 };
 
 }  // namespace meadowyard::decision
--- a/src/decision/instants.hpp
+++ b/src/decision/instants.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Instants that stand for "not yet" and "no more".
+/// Sentinel values for instants.
 #ifndef MEADOWYARD_DECISION_INSTANTS_HPP_
 #define MEADOWYARD_DECISION_INSTANTS_HPP_
 
@@ -9,9 +9,10 @@
 
 namespace meadowyard::decision {
 
-/// Before any instant of the gateway's clock.
+/// Earlier than any instant on the gateway's clock, but finite, so that differences to it are finite too. As
+/// the time of an event: it has not happened.
 constexpr Millis kNever = -1e15;
-/// After any instant.
+/// Later than any instant. As a time limit: there is none.
 constexpr Millis kForever = std::numeric_limits<Millis>::infinity();
 
 }  // namespace meadowyard::decision
--- a/src/decision/poll_schedule.cpp
+++ b/src/decision/poll_schedule.cpp
@@ -5,22 +5,23 @@
 namespace meadowyard::decision {
 namespace {
 
-constexpr Millis kFirstBackoff = 100;  // ms
-constexpr double kMinJitter = 0.5;     // of a backoff; up to as much again and a half
-constexpr double kMaxJitter = 1.5;
+constexpr Millis kMinBackoff = 100;  // ms
+// The delay to the next poll is the backoff times a random factor between these two.
+constexpr double kMinJitterFactor = 0.5;
+constexpr double kMaxJitterFactor = 1.5;
 
 }  // namespace
 
 bool PollSchedule::TakeDue(Millis now) {
-  if (!settings_.polls_endpoints || now < next_poll_) return false;
-  next_poll_ = kForever;
+  if (!settings_.polls_endpoints || now < next_poll_at_) return false;
+  next_poll_at_ = kForever;
   return true;
 }
 
 void PollSchedule::OnFailure(Millis now) {
-  backoff_ = std::min(
-      {std::max(kFirstBackoff, backoff_ * 2), settings_.max_poll_interval / 4, kMaxPollBackoff / kMaxJitter});
-  next_poll_ = now + backoff_ * (kMinJitter + random_.Uniform());
+  backoff_ = std::min({std::max(kMinBackoff, backoff_ * 2), settings_.max_poll_interval / 4,
+                       kMaxPollBackoff / kMaxJitterFactor});
+  next_poll_at_ = now + backoff_ * (kMinJitterFactor + random_.Uniform());
 }
 
 }  // namespace meadowyard::decision
--- a/src/decision/poll_schedule.hpp
+++ b/src/decision/poll_schedule.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// When service discovery is polled, where it does not push.
+/// Schedules the polls of service discovery if it does not push its updates (Settings::polls_endpoints).
 #ifndef MEADOWYARD_DECISION_POLL_SCHEDULE_HPP_
 #define MEADOWYARD_DECISION_POLL_SCHEDULE_HPP_
 
@@ -9,22 +9,24 @@
 
 namespace meadowyard::decision {
 
+/// Polls once at the start, and again after each failure with exponential backoff and jitter.
 class PollSchedule {
  public:
-  /// All arguments outlive it.
+  /// All arguments must outlive it.
   PollSchedule(const Settings& settings, RandomSource& random) : settings_(settings), random_(random) {}
 
-  /// Whether a poll is due; if so it counts as made, and the next one follows a failure.
+  /// Whether a poll is due. If so, the caller must poll, and no further poll is due until OnFailure.
   [[nodiscard]] bool TakeDue(Millis now);
-  /// Service discovery may be overloaded: the backoff doubles, and gateways never poll all at once.
+  /// Schedules the next poll. The backoff doubles, since service discovery may be overloaded, and is
+  /// jittered, so that the gateways don't all poll at the same time.
   void OnFailure(Millis now);
   void OnSuccess() { backoff_ = 0; }
 
  private:
   const Settings& settings_;
   RandomSource& random_;
-  Millis next_poll_ = kNever;
-  Millis backoff_ = 0;
+  Millis next_poll_at_ = kNever;
+  Millis backoff_ = 0;  // 0: the last poll succeeded
 };
 
 }  // namespace meadowyard::decision
--- a/src/decision/settings_validation.cpp
+++ b/src/decision/settings_validation.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::size_t kMaxClasses = 64;
 
-void Require(bool holds, const char* field, const char* problem) {
-  if (!holds) throw ConfigurationError(field, problem);
+void Require(bool is_valid, const char* field, const char* problem) {
+  if (!is_valid) throw ConfigurationError(field, problem);
 }
 
 void RequireNotNegative(double value, const char* field) {
@@ -44,8 +44,8 @@
 }  // namespace
 
 void ValidateSettings(const Settings& settings) {
-  Require(!settings.classes.empty(), "classes", "there is none");
-  Require(settings.classes.size() <= kMaxClasses, "classes", "more than 64");
+  Require(!settings.classes.empty(), "classes", "must not be empty");
+  Require(settings.classes.size() <= kMaxClasses, "classes", "must have at most 64 entries");
   RequireAtLeastOne(settings.gateway_count, "gateway_count");
   RequireAtLeastOne(settings.max_attempts, "max_attempts");
   const double fraction = settings.slow_start_fraction;
--- a/src/decision/settings_validation.hpp
+++ b/src/decision/settings_validation.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The check of a Policy's settings.
+/// Validation of a Policy's settings.
 #ifndef MEADOWYARD_DECISION_SETTINGS_VALIDATION_HPP_
 #define MEADOWYARD_DECISION_SETTINGS_VALIDATION_HPP_
 
@@ -7,7 +7,7 @@
 
 namespace meadowyard::decision {
 
-/// Throws ConfigurationError naming the first field that can't work.
+/// Throws ConfigurationError, which names the first invalid field, if the settings are invalid.
 void ValidateSettings(const Settings& settings);
 
 /// Sum of the classes' priority weights.
