--- a/src/decision/settings_validation.cpp
+++ b/src/decision/settings_validation.cpp
@@ -44,7 +44,7 @@
 }  // namespace
 
 void ValidateSettings(const Settings& settings) {
-  Require(!settings.classes.empty(), "classes", "must not be empty");
+  Require(!settings.classes.empty(), "classes", "there must be at least one");
   Require(settings.classes.size() <= kMaxClasses, "classes", "must have at most 64 entries");
   RequireAtLeastOne(settings.gateway_count, "gateway_count");
   RequireAtLeastOne(settings.max_attempts, "max_attempts");
