--- a/tests/decision/event_handling_test.cpp
+++ b/tests/decision/event_handling_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Events with odd values, in odd orders, and determinism.
+/// Events with invalid values or in an unexpected order, and determinism.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -10,88 +10,101 @@
 namespace meadowyard::testing {
 namespace {
 
-TEST(EventHandling, NonFiniteNumbersNeverReachAnEstimate) {
-  PolicyDriver g;
-  Endpoint odd = MakeEndpoint("s0");
-  odd.weight = std::numeric_limits<double>::quiet_NaN();
-  g.Snapshot({odd, MakeEndpoint("s1")});
-  Request r;
-  r.id = "nan";
-  r.class_name = "view";
-  r.time_left = std::numeric_limits<double>::infinity();
-  const std::string server = PolicyDriver::SentTo(g.Handle(r));
-  g.EndAttempt("nan", server, AttemptResult::kServed, std::numeric_limits<double>::quiet_NaN());
-  g.Serve(50);
-  EXPECT_GE(g.sent.size(), 50u);
-  for (const StartAttempt& send : g.sent) EXPECT_TRUE(send.timeout > 0 && send.timeout < 1e6);
+// Guards the latency and capacity estimates: a NaN or an infinity that enters a smoothed value never leaves
+// it again, and every later time-out would be unusable.
+TEST(EventHandling, NonFiniteValuesDoNotEnterEstimates) {
+  PolicyDriver driver;
+  Endpoint endpoint_with_nan_weight = MakeEndpoint("s0");
+  endpoint_with_nan_weight.weight = std::numeric_limits<double>::quiet_NaN();
+  driver.Snapshot({endpoint_with_nan_weight, MakeEndpoint("s1")});
+  Request request;
+  request.id = "nan";
+  request.class_name = "view";
+  request.time_left = std::numeric_limits<double>::infinity();
+  const std::string endpoint_id = PolicyDriver::SentTo(driver.Handle(request));
+  driver.EndAttempt("nan", endpoint_id, AttemptResult::kServed, std::numeric_limits<double>::quiet_NaN());
+  driver.Serve(50);
+  EXPECT_GE(driver.sent.size(), 50u);
+  for (const StartAttempt& start_attempt : driver.sent)
+    EXPECT_TRUE(start_attempt.timeout > 0 && start_attempt.timeout < 1e6);
 }
 
-TEST(EventHandling, OutcomeReportedTwiceOrOfNoAttemptChangesNothing) {
-  PolicyDriver g;
-  g.ListEndpoints(2);
-  const std::string server = PolicyDriver::SentTo(g.Arrive("a", "pay"));
-  EXPECT_EQ(PolicyDriver::Count<Fail>(g.EndAttempt("a", server, AttemptResult::kError, 5)), 1);
-  EXPECT_TRUE(g.EndAttempt("a", server, AttemptResult::kError, 5).empty());
-  const std::string other = PolicyDriver::SentTo(g.Arrive("b"));
+// Guards against two final answers to one request, and against reading past the list of its attempts.
+TEST(EventHandling, DuplicateOrUnknownOutcomeIsIgnored) {
+  PolicyDriver driver;
+  driver.ListEndpoints(2);
+  const std::string endpoint_id = PolicyDriver::SentTo(driver.Arrive("a", "pay"));
+  EXPECT_EQ(PolicyDriver::Count<Fail>(driver.EndAttempt("a", endpoint_id, AttemptResult::kError, 5)), 1);
+  EXPECT_TRUE(driver.EndAttempt("a", endpoint_id, AttemptResult::kError, 5).empty());
+  const std::string second_endpoint_id = PolicyDriver::SentTo(driver.Arrive("b"));
   for (const int attempt : {-1, 1, 1000000})
-    EXPECT_TRUE(g.EndAttempt("b", other, AttemptResult::kServed, 5, attempt).empty());
-  g.EndAttempt("b", other, AttemptResult::kServed, 5);
-  EXPECT_TRUE(g.Handle(ClientDisconnected{"b"}).empty());
-  EXPECT_TRUE(g.Handle(ResponseStarted{"b", 0}).empty());
+    EXPECT_TRUE(driver.EndAttempt("b", second_endpoint_id, AttemptResult::kServed, 5, attempt).empty());
+  driver.EndAttempt("b", second_endpoint_id, AttemptResult::kServed, 5);
+  EXPECT_TRUE(driver.Handle(ClientDisconnected{"b"}).empty());
+  EXPECT_TRUE(driver.Handle(ResponseStarted{"b", 0}).empty());
 }
 
-TEST(EventHandling, OddTimesNeitherStopTheClockNorLoseARequest) {
+// Guards against a clock that stops: if a NaN or a negative time became the current time, queued requests
+// would never expire.
+TEST(EventHandling, InvalidEventTimesNeitherStopTheClockNorLoseRequests) {
   const double nan = std::numeric_limits<double>::quiet_NaN();
-  for (const double odd : {nan, -1e12}) {
-    PolicyDriver g;
-    g.now = odd;  // the first event of all already
-    g.ListEndpoints(2);
-    g.now = 5000;
-    const std::string server = PolicyDriver::SentTo(g.Arrive("a"));
-    ASSERT_FALSE(server.empty());
-    g.now = odd;
-    g.EndAttempt("a", server, AttemptResult::kServed, -7);
-    g.Snapshot({});
-    EXPECT_EQ(PolicyDriver::Count<StartAttempt>(g.Arrive("held")), 0);
-    g.now = 5000;
-    EXPECT_EQ(PolicyDriver::Count<Reject>(g.Advance(300)), 1);
+  for (const double invalid_time : {nan, -1e12}) {
+    PolicyDriver driver;
+    driver.now = invalid_time;  // already at the first event
+    driver.ListEndpoints(2);
+    driver.now = 5000;
+    const std::string endpoint_id = PolicyDriver::SentTo(driver.Arrive("a"));
+    ASSERT_FALSE(endpoint_id.empty());
+    driver.now = invalid_time;
+    driver.EndAttempt("a", endpoint_id, AttemptResult::kServed, -7);
+    driver.Snapshot({});
+    EXPECT_EQ(PolicyDriver::Count<StartAttempt>(driver.Arrive("held")), 0);
+    driver.now = 5000;
+    EXPECT_EQ(PolicyDriver::Count<Reject>(driver.Advance(300)), 1);
   }
 }
 
-TEST(EventHandling, ClockThatStandsStillNeitherCrashesNorFloods) {
-  PolicyDriver g;
-  g.ListEndpoints(3);
-  int sent = 0, refused = 0;
+// Guards against a division by an elapsed time of 0, and against queues that grow without a bound: each
+// request is dispatched, rejected at once, or queued and rejected when its wait time is over.
+TEST(EventHandling, BurstAtOneInstantIsDispatchedQueuedOrRejected) {
+  PolicyDriver driver;
+  driver.ListEndpoints(3);
+  int sent = 0, rejected = 0;
   for (int i = 0; i < 3000; ++i) {
-    for (const Action& a : g.Arrive("r" + std::to_string(i))) {
-      sent += std::holds_alternative<StartAttempt>(a);
-      refused += std::holds_alternative<Reject>(a);
+    for (const Action& action : driver.Arrive("r" + std::to_string(i))) {
+      sent += std::holds_alternative<StartAttempt>(action);
+      rejected += std::holds_alternative<Reject>(action);
     }
   }
   EXPECT_GT(sent, 0);
-  EXPECT_GT(refused, 0);
-  EXPECT_EQ(PolicyDriver::Count<Reject>(g.Advance(300)), 3000 - sent - refused);
+  EXPECT_GT(rejected, 0);
+  EXPECT_EQ(PolicyDriver::Count<Reject>(driver.Advance(300)), 3000 - sent - rejected);
 }
 
-TEST(EventHandling, EmptyAndStaleListsSendNothingToRemovedEndpoints) {
-  PolicyDriver g;
-  g.ListEndpoints(3);
-  g.Snapshot({});
-  EXPECT_EQ(PolicyDriver::SentTo(g.Arrive("a")), "");
-  g.Snapshot({MakeEndpoint("s1", "0", 50)});
-  EXPECT_EQ(PolicyDriver::Count<Reject>(g.Advance(300)) + static_cast<int>(g.sent.size()), 1);
-  g.Handle(EndpointUpdate{EndpointUpdate::Kind::kFailed, {}});
-  EXPECT_NE(PolicyDriver::SentTo(g.Arrive("b")), "s0");
+// Guards against attempts at endpoints that service discovery has removed. A failed update keeps the last
+// list.
+TEST(EventHandling, RemovedEndpointGetsNoAttemptsAfterEmptyOrFailedUpdate) {
+  PolicyDriver driver;
+  driver.ListEndpoints(3);
+  driver.Snapshot({});
+  EXPECT_EQ(PolicyDriver::SentTo(driver.Arrive("a")), "");
+  driver.Snapshot({MakeEndpoint("s1", "0", 50)});
+  EXPECT_EQ(PolicyDriver::Count<Reject>(driver.Advance(300)) + static_cast<int>(driver.sent.size()), 1);
+  driver.Handle(EndpointUpdate{EndpointUpdate::Kind::kFailed, {}});
+  EXPECT_NE(PolicyDriver::SentTo(driver.Arrive("b")), "s0");
 }
 
+// Guards determinism: recorded runs are reproducible only if equal settings, seed and events give equal
+// actions.
 TEST(EventHandling, SameEventsGiveTheSameActions) {
-  PolicyDriver a(MakeSettings(), 7), b(MakeSettings(), 7);
-  a.ListEndpoints(5);
-  b.ListEndpoints(5);
-  a.Serve(100);
-  b.Serve(100);
-  ASSERT_EQ(a.sent.size(), b.sent.size());
-  for (std::size_t i = 0; i < a.sent.size(); ++i) EXPECT_EQ(a.sent[i].endpoint, b.sent[i].endpoint);
+  PolicyDriver first_driver(MakeSettings(), 7), second_driver(MakeSettings(), 7);
+  first_driver.ListEndpoints(5);
+  second_driver.ListEndpoints(5);
+  first_driver.Serve(100);
+  second_driver.Serve(100);
+  ASSERT_EQ(first_driver.sent.size(), second_driver.sent.size());
+  for (std::size_t i = 0; i < first_driver.sent.size(); ++i)
+    EXPECT_EQ(first_driver.sent[i].endpoint, second_driver.sent[i].endpoint);
 }
 
 }  // namespace
--- a/tests/decision/settings_test.cpp
+++ b/tests/decision/settings_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Settings of the decision module: their check, and changes while requests are open.
+/// Settings of the decision module: validation, and changes while requests are open.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,98 +11,123 @@
 namespace meadowyard::testing {
 namespace {
 
-TEST(SettingsValidation, SettingsThatCannotWorkNameTheField) {
-  const auto fault = [](auto change) -> std::string {
-    Settings s = MakeSettings();
-    change(s);
+// Guards against a Policy that starts with settings it can't work with, and against errors that don't tell
+// the operator which field to correct.
+TEST(SettingsValidation, InvalidSettingsAreRejectedWithTheNameOfTheField) {
+  const auto error_text = [](auto apply_change) -> std::string {
+    Settings changed_settings = MakeSettings();
+    apply_change(changed_settings);
     try {
-      Policy policy(s, 1);
+      Policy policy(changed_settings, 1);
     } catch (const ConfigurationError& error) {
       return error.what();
     }
     return "";
   };
-  EXPECT_NE(fault([](Settings& s) { s.classes.clear(); }).find("classes"), std::string::npos);
-  EXPECT_NE(fault([](Settings& s) { s.classes[0].deadline = 0; }).find("deadline"), std::string::npos);
-  EXPECT_NE(fault([](Settings& s) { s.classes[0].latency_objective = -1; }).find("latency_objective"),
+  EXPECT_NE(error_text([](Settings& changed_settings) { changed_settings.classes.clear(); }).find("classes"),
             std::string::npos);
-  EXPECT_NE(fault([](Settings& s) { s.tenants = {{"t", -1}}; }).find("quota"), std::string::npos);
-  EXPECT_NE(fault([](Settings& s) { s.gateway_count = 0; }).find("gateway_count"), std::string::npos);
-  EXPECT_EQ(fault([](Settings&) {}), "");
+  EXPECT_NE(error_text([](Settings& changed_settings) {
+              changed_settings.classes[0].deadline = 0;
+            }).find("deadline"),
+            std::string::npos);
+  EXPECT_NE(error_text([](Settings& changed_settings) {
+              changed_settings.classes[0].latency_objective = -1;
+            }).find("latency_objective"),
+            std::string::npos);
+  EXPECT_NE(error_text([](Settings& changed_settings) {
+              changed_settings.tenants = {{"t", -1}};
+            }).find("quota"),
+            std::string::npos);
+  EXPECT_NE(error_text([](Settings& changed_settings) {
+              changed_settings.gateway_count = 0;
+            }).find("gateway_count"),
+            std::string::npos);
+  EXPECT_EQ(error_text([](Settings&) {}), "");
 }
 
-// Guards requests over a change of settings: the open one keeps its class, the old name is taken for a
-// moment, and fewer attempts bind at once.
-TEST(SettingsChange, BindsNewRequestsAndLeavesOpenOnesTheirClass) {
+// Guards requests against a change of settings: an open request must keep the idempotency that it arrived
+// with, and requests of a changed or removed class are still accepted for a short time, until clients have
+// the change.
+TEST(SettingsChange, AppliesToNewRequestsWhileOpenOnesKeepTheirClass) {
   Settings settings = MakeSettings();
-  PolicyDriver g(settings);
-  g.ListEndpoints(3);
-  const auto ask = [&](const std::string& id, const std::string& cls, Idempotency effect) {
-    Request r;
-    r.id = id;
-    r.class_name = cls;
-    r.idempotency = effect;
-    r.time_left = 2000;
-    return PolicyDriver::SentTo(g.Handle(r));
+  PolicyDriver driver(settings);
+  driver.ListEndpoints(3);
+  const auto arrive = [&](const std::string& id, const std::string& class_name_of_request,
+                          Idempotency idempotency_of_request) {
+    Request request;
+    request.id = id;
+    request.class_name = class_name_of_request;
+    request.idempotency = idempotency_of_request;
+    request.time_left = 2000;
+    return PolicyDriver::SentTo(driver.Handle(request));
   };
-  const std::string first = ask("open", "view", Idempotency::kIdempotent);
-  ASSERT_NE(first, "");
+  const std::string first_endpoint = arrive("open", "view", Idempotency::kIdempotent);
+  ASSERT_NE(first_endpoint, "");
   settings.classes[0].idempotency = Idempotency::kNonIdempotent;
   settings.classes[2].name = "book";  // "pay" is dropped
-  g.Handle(SettingsChanged{settings});
+  driver.Handle(SettingsChanged{settings});
   using Admission = Policy::Admission;
-  EXPECT_EQ(g.policy.CheckAdmission(g.now, "view", Idempotency::kIdempotent), Admission::kAccepted);
-  EXPECT_EQ(g.policy.CheckAdmission(g.now, "view", Idempotency::kNonIdempotent), Admission::kAccepted);
-  EXPECT_EQ(g.policy.CheckAdmission(g.now, "book", Idempotency::kNonIdempotent), Admission::kAccepted);
-  EXPECT_EQ(g.policy.CheckAdmission(g.now, "book", Idempotency::kIdempotent),
+  EXPECT_EQ(driver.policy.CheckAdmission(driver.now, "view", Idempotency::kIdempotent), Admission::kAccepted);
+  EXPECT_EQ(driver.policy.CheckAdmission(driver.now, "view", Idempotency::kNonIdempotent),
+            Admission::kAccepted);
+  EXPECT_EQ(driver.policy.CheckAdmission(driver.now, "book", Idempotency::kNonIdempotent),
+            Admission::kAccepted);
+  EXPECT_EQ(driver.policy.CheckAdmission(driver.now, "book", Idempotency::kIdempotent),
             Admission::kIdempotencyMismatch);
-  EXPECT_EQ(g.policy.CheckAdmission(g.now, "never", Idempotency::kIdempotent), Admission::kUnknownClass);
-  EXPECT_NE(PolicyDriver::SentTo(g.EndAttempt("open", first, AttemptResult::kError, 10)),
-            "");  // safe when it came
-  const std::string unsafe = ask("new", "view", Idempotency::kNonIdempotent);
-  EXPECT_EQ(PolicyDriver::Count<Fail>(g.EndAttempt("new", unsafe, AttemptResult::kError, 10)), 1);
-  EXPECT_NE(ask("late", "pay", Idempotency::kNonIdempotent), "");
-  g.Advance(2000);
-  EXPECT_EQ(g.policy.CheckAdmission(g.now, "view", Idempotency::kIdempotent),
+  EXPECT_EQ(driver.policy.CheckAdmission(driver.now, "never", Idempotency::kIdempotent),
+            Admission::kUnknownClass);
+  EXPECT_NE(PolicyDriver::SentTo(driver.EndAttempt("open", first_endpoint, AttemptResult::kError, 10)),
+            "");  // it arrived as idempotent
+  const std::string non_idempotent_endpoint = arrive("new", "view", Idempotency::kNonIdempotent);
+  EXPECT_EQ(
+      PolicyDriver::Count<Fail>(driver.EndAttempt("new", non_idempotent_endpoint, AttemptResult::kError, 10)),
+      1);
+  EXPECT_NE(arrive("late", "pay", Idempotency::kNonIdempotent), "");
+  driver.Advance(2000);
+  EXPECT_EQ(driver.policy.CheckAdmission(driver.now, "view", Idempotency::kIdempotent),
             Admission::kIdempotencyMismatch);
-  EXPECT_EQ(g.policy.CheckAdmission(g.now, "pay", Idempotency::kNonIdempotent), Admission::kUnknownClass);
+  EXPECT_EQ(driver.policy.CheckAdmission(driver.now, "pay", Idempotency::kNonIdempotent),
+            Admission::kUnknownClass);
 }
 
-TEST(SettingsChange, FewerAttemptsBindOpenRequestsAndMoreDoNot) {
-  for (const int most : {1, 5}) {
+// Guards against open requests that exceed a lowered limit of attempts, or that gain attempts they did not
+// have when they arrived.
+TEST(SettingsChange, LowerAttemptLimitAppliesToOpenRequestsAndHigherDoesNot) {
+  for (const int max_attempts_after_change : {1, 5}) {
     Settings settings = MakeSettings();
     settings.max_attempts = 2;
-    PolicyDriver g(settings);
-    g.ListEndpoints(6);
-    g.Serve(100);
-    g.sent.clear();
-    std::string at = PolicyDriver::SentTo(g.Arrive("r"));
-    settings.max_attempts = most;
-    g.Handle(SettingsChanged{settings});
-    for (int i = 0; !at.empty(); ++i)
-      at = PolicyDriver::SentTo(g.EndAttempt("r", at, AttemptResult::kRejected, 1, i));
-    EXPECT_EQ(g.sent.size(), static_cast<std::size_t>(std::min(most, 2)));
+    PolicyDriver driver(settings);
+    driver.ListEndpoints(6);
+    driver.Serve(100);
+    driver.sent.clear();
+    std::string endpoint_id = PolicyDriver::SentTo(driver.Arrive("r"));
+    settings.max_attempts = max_attempts_after_change;
+    driver.Handle(SettingsChanged{settings});
+    for (int i = 0; !endpoint_id.empty(); ++i)
+      endpoint_id = PolicyDriver::SentTo(driver.EndAttempt("r", endpoint_id, AttemptResult::kRejected, 1, i));
+    EXPECT_EQ(driver.sent.size(), static_cast<std::size_t>(std::min(max_attempts_after_change, 2)));
   }
 }
 
-// Guards memory over a service life of changed files.
-TEST(SettingsChange, HundredsOfChangesLeaveTheClassesThatAreInForce) {
+// Guards against memory growth in a long-running gateway whose settings change often: classes that no request
+// needs any more are dropped. Invalid settings change nothing.
+TEST(SettingsChange, ReplacedClassesAreDroppedOverHundredsOfChanges) {
   Settings settings = MakeSettings();
-  PolicyDriver g(settings);
-  g.ListEndpoints(2);
+  PolicyDriver driver(settings);
+  driver.ListEndpoints(2);
   for (int i = 0; i < 300; ++i) {
     settings.classes[0].name = "view" + std::to_string(i);
-    g.Handle(SettingsChanged{settings});
-    g.Serve(1, 20, settings.classes[0].name);
-    g.Advance(1000);
+    driver.Handle(SettingsChanged{settings});
+    driver.Serve(1, 20, settings.classes[0].name);
+    driver.Advance(1000);
   }
-  EXPECT_EQ(g.policy.CheckAdmission(g.now, "view298", Idempotency::kIdempotent),
+  EXPECT_EQ(driver.policy.CheckAdmission(driver.now, "view298", Idempotency::kIdempotent),
             Policy::Admission::kAccepted);
-  EXPECT_EQ(g.policy.CheckAdmission(g.now, "view297", Idempotency::kIdempotent),
+  EXPECT_EQ(driver.policy.CheckAdmission(driver.now, "view297", Idempotency::kIdempotent),
             Policy::Admission::kUnknownClass);
   settings.classes[0].deadline = 0;
-  EXPECT_THROW(g.Handle(SettingsChanged{settings}), ConfigurationError);
-  EXPECT_EQ(PolicyDriver::Count<StartAttempt>(g.Arrive("r", "view299")), 1);
+  EXPECT_THROW(driver.Handle(SettingsChanged{settings}), ConfigurationError);
+  EXPECT_EQ(PolicyDriver::Count<StartAttempt>(driver.Arrive("r", "view299")), 1);
 }
 
 }  // namespace
