--- a/src/decision/poll_schedule.hpp
+++ b/src/decision/poll_schedule.hpp
@@ -26,7 +26,7 @@
   const Settings& settings_;
   RandomSource& random_;
   Millis next_poll_at_ = kNever;
-  Millis backoff_ = 0;  // 0: the last poll succeeded
+  Millis backoff_ = 0;  // 0: the last poll did not fail
 };
 
 }  // namespace meadowyard::decision
