--- a/include/meadowyard/policy.hpp
+++ b/include/meadowyard/policy.hpp
@@ -55,7 +55,7 @@
 /// Settings of one tenant.
 struct TenantSettings {
   std::string name;
-  double quota_per_s = 0;  ///< Quota in requests per second, summed over all gateways; 0: no quota.
+  double quota_per_s = 0;  ///< Quota in requests per second, over all gateways; 0: unlimited.
 };
 
 /// Settings of zone routing, which follows the state that the gateways agreed on (see ZoneAgreement).
@@ -97,7 +97,7 @@
   Millis slow_start_duration = 0;    ///< Time after its start at which an endpoint has its full capacity.
   /// An endpoint in slow start fails if it is sent this multiple of its current capacity.
   double overload_multiple = 3;
-  /// A request costs less work at an endpoint that served the same Request::key recently.
+  /// A request causes less work at an endpoint that served the same Request::key recently.
   bool key_affinity = false;
   bool clients_mark_retries = false;  ///< Clients set Request::is_retry on their own retries.
   bool sends_retry_after = false;     ///< Reject::retry_after is sent to clients.
