--- a/src/decision/arrival_rate.hpp
+++ b/src/decision/arrival_rate.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The rate at which requests arrive, smoothed.
+/// The rate at which requests arrive at this gateway, exponentially smoothed.
 #ifndef MEADOWYARD_DECISION_ARRIVAL_RATE_HPP_
 #define MEADOWYARD_DECISION_ARRIVAL_RATE_HPP_
 
@@ -11,8 +11,9 @@
 
 class ArrivalRate {
  public:
-  void Decay(Millis passed) { per_ms_ *= std::exp(-passed / kMemory); }
-  void CountRequest() { per_ms_ += 1 / kMemory; }
+  /// `passed`: time since the last call.
+  void Decay(Millis passed) { per_ms_ *= std::exp(-passed / kTimeConstant); }
+  void CountRequest() { per_ms_ += 1 / kTimeConstant; }
   /// Requests per millisecond.
   [[nodiscard]] double per_ms() const { return per_ms_; }
 
@@ -20,7 +21,8 @@
   void Restore(const LearnedState& state) { per_ms_ = state.arrival_rate; }
 
  private:
-  static constexpr Millis kMemory = 10000;  // ms: a few requests a second have to give a rate
+  // Long enough for an estimate at a few requests per second.
+  static constexpr Millis kTimeConstant = 10000;  // ms
 
   double per_ms_ = 0;
 };
--- a/src/decision/rate_controller.hpp
+++ b/src/decision/rate_controller.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// The rate controller: learns at which rate attempts may be sent, raises it with each timely answer and
-/// reduces it when outcomes are untimely and the endpoints are congested.
+/// The rate controller: learns the rate at which this gateway may send attempts, by additive increase and
+/// multiplicative decrease. Each timely answer increases the rate. It is reduced while too many outcomes are
+/// untimely (not served within the latency objective) and the endpoints are congested.
 #ifndef MEADOWYARD_DECISION_RATE_CONTROLLER_HPP_
 #define MEADOWYARD_DECISION_RATE_CONTROLLER_HPP_
 
@@ -15,20 +16,22 @@
 
 class RateController {
  public:
-  /// All arguments outlive it.
+  /// Keeps references to all arguments, which must outlive the controller.
   RateController(const GatewayMembership& membership, const SubsetSelector& subset,
                  const EndpointRegistry& registry, ActionWriter& actions)
       : membership_(membership), subset_(subset), registry_(registry), actions_(actions) {}
 
-  /// Time has passed.
+  /// Refills the token bucket and decays the smoothed dispatch rate. `passed`: time since the last call.
   void Advance(Millis now, Millis passed);
+  /// Whether an attempt may be sent now.
   [[nodiscard]] bool HasToken() const { return bucket_.HasToken(); }
-  /// An attempt is sent.
+  /// Consumes the token of an attempt that is being sent.
   void OnDispatch();
-  /// An attempt could not be sent: its token bought nothing.
-  void OnNotSent() { bucket_.PutBack(); }
-  /// Learns from the end of an attempt at an endpoint as it was trusted until now. `is_timely`: served within
-  /// the latency objective; `in_flight`: attempts over all endpoints.
+  /// Returns the token of an attempt that could not be sent.
+  void OnNotSent() { bucket_.Return(); }
+  /// Adjusts the rate to the outcome of an attempt. To be called before the outlier detector counts the same
+  /// outcome, because outcomes of endpoints that are already ejected are ignored. `is_timely`: served within
+  /// the latency objective; `in_flight`: this gateway's attempts in flight, over all endpoints.
   void OnOutcome(const EndpointRecord& endpoint, AttemptResult result, bool is_timely, int in_flight,
                  Millis now);
 
@@ -41,23 +44,23 @@
   void Restore(const LearnedState& state);
 
  private:
-  [[nodiscard]] bool IsEvidence(const EndpointRecord& endpoint, AttemptResult result, Millis now) const;
-  void Raise(Millis now);
-  void Reduce(Millis now);
+  [[nodiscard]] bool MayAffectRate(const EndpointRecord& endpoint, AttemptResult result, Millis now) const;
+  void IncreaseRate(Millis now);
+  void ReduceRate(Millis now);
   [[nodiscard]] bool IsCongested(int in_flight) const;
-  [[nodiscard]] Millis DispatchMemory() const;
-  [[nodiscard]] double RecentDispatchRate(Millis now) const;
+  [[nodiscard]] Millis DispatchRateTimeConstant() const;
+  [[nodiscard]] double CorrectedDispatchRate(Millis now) const;
 
   const GatewayMembership& membership_;
   const SubsetSelector& subset_;
   const EndpointRegistry& registry_;
   ActionWriter& actions_;
   TokenBucket bucket_;
-  double rate_ = 0;  // tokens per second; 0: no endpoint was known yet
+  double token_rate_ = 0;  // tokens per second; 0: no endpoint has been known yet
   double dispatch_rate_ = 0;
   double untimely_share_ = 0;
   Millis no_reduction_before_ = kNever;
-  Millis started_at_ = 0;  // when the first endpoint was known
+  Millis started_at_ = 0;  // when the first endpoint became known
 };
 
 }  // namespace meadowyard::decision
--- a/src/decision/token_bucket.hpp
+++ b/src/decision/token_bucket.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The token bucket that admits attempts at the learned rate.
+/// The token bucket that limits attempts to the learned rate.
 #ifndef MEADOWYARD_DECISION_TOKEN_BUCKET_HPP_
 #define MEADOWYARD_DECISION_TOKEN_BUCKET_HPP_
 
@@ -11,23 +11,25 @@
 
 class TokenBucket {
  public:
-  /// Adds what `rate` (tokens per second) gives in the time that has passed.
+  /// Adds the tokens that `rate` (tokens per second) yields in `passed`, up to the bucket's capacity.
   void Refill(double rate, Millis passed) {
-    tokens_ = std::min(tokens_ + rate * passed / kMillisPerSecond, SizeFor(rate));
+    tokens_ = std::min(tokens_ + rate * passed / kMillisPerSecond, CapacityAt(rate));
   }
-  void Fill(double rate) { tokens_ = SizeFor(rate); }
-  /// A token may be borrowed in part: the bucket then stays empty until it is paid back.
+  /// Fills the bucket to its capacity at `rate` (tokens per second).
+  void Fill(double rate) { tokens_ = CapacityAt(rate); }
+  /// Whether a token may be taken. A fraction of a token suffices: the count then becomes negative, and the
+  /// bucket has no token until refills have made up for it.
   [[nodiscard]] bool HasToken() const { return tokens_ > 0; }
   void Take() { tokens_ -= 1; }
-  void PutBack() { tokens_ += 1; }
+  void Return() { tokens_ += 1; }
 
  private:
   static constexpr double kMillisPerSecond = 1000;
-  static constexpr Millis kBurst = 50;   // ms of refill that it holds
-  static constexpr double kMinSize = 2;  // tokens
+  static constexpr Millis kBurstDuration = 50;  // ms of refill that the bucket holds
+  static constexpr double kMinCapacity = 2;     // tokens
 
-  [[nodiscard]] static double SizeFor(double rate) {
-    return std::max(kMinSize, rate * kBurst / kMillisPerSecond);
+  [[nodiscard]] static double CapacityAt(double rate) {
+    return std::max(kMinCapacity, rate * kBurstDuration / kMillisPerSecond);
   }
 
   double tokens_ = 1;
