--- a/src/decision/class_queues.cpp
+++ b/src/decision/class_queues.cpp
@@ -7,21 +7,23 @@
 namespace meadowyard::decision {
 namespace {
 
-constexpr double kMaxCredit = 4;                 // credit stays within +- this many requests
-constexpr double kMaxWaitShare = 0.25;           // of its time that a request waits at most
-constexpr double kMaxWaitShareOverQuota = 0.05;  // the same over quota: it occupies a client for little
-constexpr double kMinQueueCapacity = 32;         // requests of a class
+constexpr double kMaxCredit = 4;  // requests; the credit of a class stays within +- this
+// Share of the time from a request's arrival to its latency objective that it may be queued.
+constexpr double kMaxWaitShare = 0.25;
+// The same for a request over its tenant's quota. Lower, so that it occupies a client only briefly.
+constexpr double kMaxWaitShareOverQuota = 0.05;
+constexpr double kMinQueueCapacity = 32;  // requests, per class
 constexpr double kMillisPerSecond = 1000;
 
-// A token must come soon: what waits longer is dispatched with too little time left, fails, and has the rate
-// reduced again. And the answer must come before the client gives up.
-Millis WaitsUntil(const RequestState& request) {
+// When a queued request expires. A request that waits longer is dispatched with too little time left, misses
+// its objective, and so reduces the dispatch rate again. It must also be answered before the client gives up.
+Millis QueueExpiry(const RequestState& request) {
   const double share = request.within_quota ? kMaxWaitShare : kMaxWaitShareOverQuota;
   return std::min(request.arrived_at + share * (request.objective_at - request.arrived_at),
                   request.deadline_at - kAnswerMargin);
 }
 
-// Any endpoint of its zone may take it.
+// Whether a request may go to any endpoint of its zone.
 bool IsUnrestricted(const RequestState& request) {
   return !request.IsPinned() && request.IsFirstAttempt() && !request.is_tunnel;
 }
@@ -55,7 +57,7 @@
 
 RequestState* ClassQueues::ReserveSlot(RequestState& request, double dispatch_rate) {
   TrafficClass& traffic_class = classes_[request.class_index];
-  // More can't be served in time.
+  // Requests in a longer queue could not be served within the objective at the current dispatch rate.
   const double capacity =
       dispatch_rate * traffic_class.settings.latency_objective / kMillisPerSecond + kMinQueueCapacity;
   if (static_cast<double>(traffic_class.QueuedCount()) < capacity) return nullptr;
@@ -65,14 +67,15 @@
   return displaced;
 }
 
-// All, not the heads alone: one with less time than those before it must not run out of it behind them.
+// Checks all queued requests and not just the first of each queue: a request may have less time left than
+// those in front of it.
 std::vector<RequestState*> ClassQueues::CollectExpired(Millis now) {
   std::vector<RequestState*> expired;
   if (size_ == 0) return expired;
   for (TrafficClass& traffic_class : classes_.all()) {
     for (const RequestQueue* const queue : traffic_class.Queues()) {
       std::copy_if(queue->begin(), queue->end(), std::back_inserter(expired),
-                   [now](const RequestState* request) { return now >= WaitsUntil(*request); });
+                   [now](const RequestState* request) { return now >= QueueExpiry(*request); });
     }
   }
   return expired;
@@ -80,11 +83,11 @@
 
 std::optional<ClassQueues::Release> ClassQueues::TakeNext(double untimely_share, Millis now) {
   while (size_ > 0) {
-    TrafficClass* const next = MostCredited();
+    TrafficClass* const next = ClassWithMostCredit();
     if (next == nullptr) return std::nullopt;
-    const std::optional<Release> release = FirstReleasable(*next, untimely_share, now);
+    const std::optional<Release> release = FindRelease(*next, untimely_share, now);
     if (!release) {
-      next->blocked_round = round_;  // no endpoint can take its head now
+      next->blocked_round = round_;  // no endpoint has capacity for its requests now
       continue;
     }
     ChargeCredit(*next);
@@ -94,9 +97,10 @@
   return std::nullopt;
 }
 
-// Of the backlogged classes that are not blocked in this round. Where all are in debt the least indebted is
-// next: a token never idles.
-TrafficClass* ClassQueues::MostCredited() {
+// The class with the most credit, including the weight that it earns by this release, among the backlogged
+// classes that are not blocked in this round; null if there is none. A class with negative credit is eligible
+// too, so that no available token is left unused.
+TrafficClass* ClassQueues::ClassWithMostCredit() {
   TrafficClass* best = nullptr;
   for (TrafficClass& candidate : classes_.all()) {
     if (candidate.QueuedCount() == 0 || candidate.blocked_round == round_) continue;
@@ -115,22 +119,23 @@
   released.credit = std::max(-kMaxCredit, released.credit - 1);
 }
 
-std::optional<ClassQueues::Release> ClassQueues::FirstReleasable(TrafficClass& traffic_class,
-                                                                 double untimely_share, Millis now) {
+std::optional<ClassQueues::Release> ClassQueues::FindRelease(TrafficClass& traffic_class,
+                                                             double untimely_share, Millis now) {
   for (RequestQueue* const queue : traffic_class.Queues()) {
     if (queue->empty()) continue;
-    const std::optional<Release> release = FirstReleasable(*queue, untimely_share, now);
+    const std::optional<Release> release = FindRelease(*queue, untimely_share, now);
     if (release && release->request == nullptr) return std::nullopt;
     if (release) return release;
   }
   return std::nullopt;
 }
 
-// The first request with an endpoint for it. One that not every endpoint may take blocks no other, and one
-// that waits for a zone blocks those for the same zone alone. A release without a request: all of the class
-// is blocked, for its endpoints can take nothing.
-std::optional<ClassQueues::Release> ClassQueues::FirstReleasable(RequestQueue& queue, double untimely_share,
-                                                                 Millis now) {
+// Finds the first request in the queue for which an endpoint has capacity. A request that is restricted to
+// certain endpoints doesn't block those behind it; any other request blocks only those for the same zone.
+// Returns a Release without a request if no endpoint has capacity for unrestricted requests of any zone: all
+// queues of the class are blocked then.
+std::optional<ClassQueues::Release> ClassQueues::FindRelease(RequestQueue& queue, double untimely_share,
+                                                             Millis now) {
   std::set<const std::string*> blocked_zones;
   for (RequestState* const request : queue) {
     const bool is_unrestricted = IsUnrestricted(*request);
--- a/src/decision/class_queues.hpp
+++ b/src/decision/class_queues.hpp
@@ -1,9 +1,10 @@
 /// @file
-/// The queues of the traffic classes, and most credit first between them.
+/// The queues of the traffic classes and the scheduler that selects the next request from them.
 ///
-/// A request that can't be dispatched at once waits for a token or an endpoint, for a part of its time. Most
-/// credit first: each release gives every backlogged class credit by its weight, and the class with the most
-/// credit pays one for the release.
+/// A request that can't be dispatched at once waits for a token or an endpoint, for at most a fixed share
+/// of the time to its latency objective. The classes share the capacity by weight (smooth weighted round
+/// robin): each release adds the weight of every backlogged class to its credit, and the class with the most
+/// credit is selected and pays one credit for the release.
 #ifndef MEADOWYARD_DECISION_CLASS_QUEUES_HPP_
 #define MEADOWYARD_DECISION_CLASS_QUEUES_HPP_
 
@@ -20,46 +21,50 @@
 
 namespace meadowyard::decision {
 
-/// Time before a client gives up, in milliseconds, by which its request is answered: timers may be late by
-/// two sweeps.
+/// A queued request is answered at least this long before its client gives up, in milliseconds: the timer
+/// that sweeps the queues may be late by two intervals.
 constexpr Millis kAnswerMargin = 20;
 
 class ClassQueues {
  public:
-  /// A request that is to be dispatched, and where.
+  /// A request to dispatch and the endpoint that it goes to.
   struct Release {
     RequestState* request = nullptr;
     EndpointRecord* endpoint = nullptr;
   };
 
-  /// All arguments outlive it.
+  /// Keeps references to all arguments, which must outlive the queues.
   ClassQueues(TrafficClassTable& classes, LoadBalancer& balancer, const ZoneRouter& zones)
       : classes_(classes), balancer_(balancer), zones_(zones) {}
 
+  /// Number of queued requests, over all classes.
   [[nodiscard]] std::size_t size() const { return size_; }
+  /// Queues a request that has had no attempt yet.
   void Add(RequestState& request);
+  /// Queues a request for another attempt, ahead of requests without one.
   void AddRetry(RequestState& request);
-  /// Nothing happens if it does not wait.
+  /// Removes a request from its queue. No effect if it is not queued.
   void Remove(RequestState& request);
 
-  /// Reserves a slot in its class's queues for a request: returns the one that has to be rejected for it,
-  /// which is the request itself, or one over quota that is removed from its queue; null: there is a free
-  /// slot. `dispatch_rate`: attempts per second.
+  /// Reserves a slot for a request in the queues of its class. Returns null if a slot is free. Otherwise
+  /// returns the request that has to be rejected: either `request` itself, or a request over its tenant's
+  /// quota, which has been removed from its queue. `dispatch_rate`: attempts per second.
   RequestState* ReserveSlot(RequestState& request, double dispatch_rate);
 
-  /// Requests that can't wait any longer.
+  /// Queued requests whose waiting time has expired. They stay queued until they are removed.
   [[nodiscard]] std::vector<RequestState*> CollectExpired(Millis now);
 
-  /// A new round of releases begins: what found no endpoint is looked at again.
+  /// Starts a new round of releases: classes for which no endpoint had capacity are tried again.
   void BeginRound() { ++round_; }
-  /// Takes the request that the next token goes to, if some endpoint can take it.
+  /// Removes the request that the next token goes to and returns it with its endpoint; nullopt if no endpoint
+  /// has capacity for any queued request. `untimely_share`: see RateController.
   std::optional<Release> TakeNext(double untimely_share, Millis now);
 
  private:
   void Insert(RequestState& request, RequestQueue& queue);
-  TrafficClass* MostCredited();
-  std::optional<Release> FirstReleasable(TrafficClass& traffic_class, double untimely_share, Millis now);
-  std::optional<Release> FirstReleasable(RequestQueue& queue, double untimely_share, Millis now);
+  TrafficClass* ClassWithMostCredit();
+  std::optional<Release> FindRelease(TrafficClass& traffic_class, double untimely_share, Millis now);
+  std::optional<Release> FindRelease(RequestQueue& queue, double untimely_share, Millis now);
   void ChargeCredit(TrafficClass& released);
 
   TrafficClassTable& classes_;
--- a/src/decision/traffic_class_table.cpp
+++ b/src/decision/traffic_class_table.cpp
@@ -6,37 +6,40 @@
 namespace meadowyard::decision {
 namespace {
 
-constexpr double kLatencyWeight = 0.01;        // of a new sample in a class's latency
-constexpr Millis kAcceptedAfterChange = 1500;  // ms that a class is accepted after it was changed or removed
+constexpr double kClassLatencyWeight = 0.01;  // of a new sample in a class's smoothed latency
+// How long requests for a class are still accepted after it was changed or removed, in ms.
+constexpr Millis kAcceptanceAfterChange = 1500;
 
-// An idempotency key does no harm to a class that needs none.
-bool Fits(Idempotency requested, Idempotency offered) {
-  if (requested == offered) return true;
-  return requested == Idempotency::kIdempotencyKey && offered == Idempotency::kNonIdempotent;
+// Whether a request that declares `request_idempotency` may use a class with `class_idempotency`. An
+// idempotency key does no harm in a non-idempotent class, which doesn't need it.
+bool IsCompatible(Idempotency request_idempotency, Idempotency class_idempotency) {
+  if (request_idempotency == class_idempotency) return true;
+  return request_idempotency == Idempotency::kIdempotencyKey &&
+         class_idempotency == Idempotency::kNonIdempotent;
 }
 
 }  // namespace
 
 void TrafficClassTable::Configure(const std::vector<TrafficClassSettings>& classes, double total_weight,
                                   Millis now) {
-  const Millis last_accepted = now + kAcceptedAfterChange;
+  const Millis last_accepted = now + kAcceptanceAfterChange;
   for (TrafficClass& entry : classes_) entry.accepts_until = std::min(entry.accepts_until, last_accepted);
   for (const TrafficClassSettings& settings : classes) {
-    const TrafficClass* const known = Find(settings.name, std::nullopt, now);
-    const TrafficClass old = known != nullptr ? *known : TrafficClass();
+    const TrafficClass* const previous = Find(settings.name, std::nullopt, now);
+    const TrafficClass old_entry = previous != nullptr ? *previous : TrafficClass();
     const bool is_unchanged =
-        known != nullptr && known->settings == settings && known->accepts_until == last_accepted;
-    TrafficClass& entry = is_unchanged ? classes_[IndexOf(*known)] : AddEntry(now);
+        previous != nullptr && previous->settings == settings && previous->accepts_until == last_accepted;
+    TrafficClass& entry = is_unchanged ? classes_[IndexOf(*previous)] : AddEntry(now);
     entry.settings = settings;
     entry.accepts_until = kForever;
     entry.weight = total_weight > 0 ? settings.priority_weight / total_weight
                                     : 1.0 / static_cast<double>(classes.size());
-    entry.latency = old.latency;
-    entry.samples = old.samples;
+    entry.latency = old_entry.latency;
+    entry.samples = old_entry.samples;
   }
 }
 
-// Takes the place of a class that no request needs any more, if there is one.
+// Reuses the entry of a class that accepts no requests any more and has none open, or appends a new entry.
 TrafficClass& TrafficClassTable::AddEntry(Millis now) {
   for (TrafficClass& entry : classes_) {
     if (entry.open_requests > 0 || now < entry.accepts_until) continue;
@@ -57,7 +60,7 @@
   const TrafficClass* newest = nullptr;
   for (const TrafficClass& entry : classes_) {
     if (entry.settings.name != name || now >= entry.accepts_until) continue;
-    if (idempotency && !Fits(*idempotency, entry.settings.idempotency)) continue;
+    if (idempotency && !IsCompatible(*idempotency, entry.settings.idempotency)) continue;
     if (newest == nullptr || entry.accepts_until > newest->accepts_until) newest = &entry;
   }
   return newest;
@@ -70,9 +73,9 @@
 void TrafficClassTable::LearnLatency(TrafficClass& traffic_class, Millis latency) {
   ++traffic_class.samples;
   traffic_class.latency +=
-      std::max(kLatencyWeight, 1.0 / traffic_class.samples) * (latency - traffic_class.latency);
+      std::max(kClassLatencyWeight, 1.0 / traffic_class.samples) * (latency - traffic_class.latency);
   ++samples_;
-  mean_latency_ += std::max(kLatencyWeight, 1.0 / samples_) * (latency - mean_latency_);
+  mean_latency_ += std::max(kClassLatencyWeight, 1.0 / samples_) * (latency - mean_latency_);
 }
 
 double TrafficClassTable::RelativeLatency(std::size_t index) const {
