--- a/src/decision/concurrency_limiter.cpp
+++ b/src/decision/concurrency_limiter.cpp
@@ -6,40 +6,52 @@
 namespace meadowyard::decision {
 namespace {
 
-constexpr double kKindLatencyWeight = kLatencyWeight / 2;  // of a new sample in the latency of its kind
-constexpr double kAverageWeight = 0.02;                    // the same in the average, whose floor is the
-                                                           // uncongested latency
-constexpr double kUncongestedDrift = 0.001;                // how fast the uncongested latency follows upwards
-constexpr double kKindUncongestedDrift = kUncongestedDrift / 4;
-constexpr int kMinKindSamples =
-    20;                         // below this many the average stands for the uncongested latency of a kind
-constexpr double kSlack = 1.1;  // uncongested latency times this is no congestion yet
-constexpr double kKeyAffinitySlack = 2;  // the same where latency varies with the keys too
-constexpr double kUtilizationGain = 4;   // how hard limits shrink with overuse
-constexpr double kMinGradient = 0.2;     // by which one sample shrinks a limit at the most
-constexpr double kGrowth = 0.7;          // of a limit, times its root: small endpoints grow little
-constexpr double kMinSamplesToMove = 2;  // a limit moves by a part of itself with each sample
-constexpr double kInitialLimit = 8;      // requests, over all gateways, of an unmeasured endpoint
-constexpr double kInitialReportedLimit =
-    2;  // the same where endpoints report: growth follows as they show spare capacity
-constexpr double kMinLimit = 1;           // the same, that a congested endpoint keeps
-constexpr double kBusyUtilization = 0.6;  // above which traffic over quota is held back
-constexpr double kOverQuotaShare = 0.3;   // part of a limit that is open to it then
+// Weight of a new sample in the smoothed latency of an endpoint's kind.
+constexpr double kKindLatencyWeight = kLatencyWeight / 2;
+// Weight of a new sample in the long-term average, whose minimum is the uncongested latency.
+constexpr double kAverageLatencyWeight = 0.02;
+// Share of its distance to the current latency by which the uncongested latency rises with each sample.
+constexpr double kUncongestedDriftPerSample = 0.001;
+constexpr double kKindUncongestedDriftPerSample = kUncongestedDriftPerSample / 4;
+// A kind with fewer samples uses its long-term average as its uncongested latency.
+constexpr int kMinKindSamples = 20;
+// Latency up to this multiple of the uncongested latency is no sign of congestion.
+constexpr double kLatencyTolerance = 1.1;
+// The same with key affinity, where latency also varies with the key.
+constexpr double kKeyAffinityLatencyTolerance = 2;
+constexpr double kUtilizationGain = 4;  // decrease of the gradient per unit of excess utilization
+constexpr double kMinGradient = 0.2;    // lower bound for the ratio of a target to its limit
+// A target exceeds its limit by this times the square root of the limit, so that small limits grow slowly.
+constexpr double kGrowthPerSquareRoot = 0.7;
+// Each sample moves a limit towards its target by 1 / limit of the distance, but by half of it at most.
+constexpr double kMinSamplesToTarget = 2;
+constexpr double kInitialLimit = 8;  // requests over all gateways, for an endpoint without measurements
+// The same where endpoints report their utilization: the limit grows when reports show spare capacity.
+constexpr double kInitialLimitWithLoadReports = 2;
+constexpr double kMinLimit = 1;  // requests over all gateways that a congested endpoint is still sent
+// Reported utilization of a kind above which requests over quota are restricted.
+constexpr double kBusyUtilization = 0.6;
+constexpr double kOverQuotaLimitShare = 0.3;  // share of a limit that is open to them then
 
-// Weight of a new sample in an average: the plain mean while there are few.
-double WeightOf(double weight, int samples) { return std::max(weight, 1.0 / samples); }
+// Weight of a new sample in an exponential average. While there are few samples it is 1 / samples, which
+// makes the average their plain mean.
+double SampleWeight(double min_weight, int samples) { return std::max(min_weight, 1.0 / samples); }
 
 }  // namespace
 
-// An endpoint with key affinity holds more before it is congested, from the start on.
+// With key affinity a higher latency counts as uncongested, so the initial limit is higher by the same ratio.
 double ConcurrencyLimiter::InitialLimit() const {
-  const double limit = reports_.is_reported() ? kInitialReportedLimit : kInitialLimit * Slack() / kSlack;
+  const double limit = reports_.is_utilization_reported()
+                           ? kInitialLimitWithLoadReports
+                           : kInitialLimit * LatencyTolerance() / kLatencyTolerance;
   return limit / subset_.gateways_per_endpoint();
 }
 
 double ConcurrencyLimiter::MinLimit() const { return kMinLimit / subset_.gateways_per_endpoint(); }
 
-double ConcurrencyLimiter::Slack() const { return settings_.key_affinity ? kKeyAffinitySlack : kSlack; }
+double ConcurrencyLimiter::LatencyTolerance() const {
+  return settings_.key_affinity ? kKeyAffinityLatencyTolerance : kLatencyTolerance;
+}
 
 void ConcurrencyLimiter::Reset(EndpointRecord& endpoint) const {
   endpoint.latency = {};
@@ -49,8 +61,8 @@
 
 bool ConcurrencyLimiter::HasCapacity(const EndpointRecord& endpoint, bool within_quota, Millis now) const {
   if (now < endpoint.concurrency.paused_until) return false;
-  const bool all_open = within_quota || endpoint.kind->utilization < kBusyUtilization;
-  const double share = all_open ? 1 : kOverQuotaShare;
+  const bool is_unrestricted = within_quota || endpoint.kind->utilization < kBusyUtilization;
+  const double share = is_unrestricted ? 1 : kOverQuotaLimitShare;
   return endpoint.in_flight < endpoint.concurrency.slots * share;
 }
 
@@ -61,9 +73,11 @@
 
 void ConcurrencyLimiter::OnAttemptEnded(EndpointRecord& endpoint, Millis latency, Millis now) {
   ConcurrencyState& state = endpoint.concurrency;
-  // A few gateways may have to share an endpoint that takes fewer requests than there are gateways.
+  // A limit below 1 means that the endpoint can process fewer requests than there are gateways using it. Each
+  // gateway then pauses between two requests, so that it has `limit` requests in flight on average.
   if (state.limit < 1) state.paused_until = now + latency * (1 / state.limit - 1);
-  // Drawn anew each time: rounding up would congest an endpoint by a request for each gateway.
+  // Rounds at random, again after each attempt. If all gateways rounded up, they would together exceed the
+  // endpoint's capacity by up to one request per gateway.
   state.slots = std::max(1.0, std::floor(state.limit + random_.Uniform()));
 }
 
@@ -71,38 +85,42 @@
   LatencyEstimate& own = endpoint.latency;
   LatencyEstimate& kind = endpoint.kind->latency;
   ++own.samples;
-  own.smoothed += WeightOf(kLatencyWeight, own.samples) * (latency - own.smoothed);
+  own.smoothed += SampleWeight(kLatencyWeight, own.samples) * (latency - own.smoothed);
   ++kind.samples;
-  kind.smoothed += WeightOf(kKindLatencyWeight, kind.samples) * (latency - kind.smoothed);
-  if (served) LearnUncongested(endpoint, latency);
+  kind.smoothed += SampleWeight(kKindLatencyWeight, kind.samples) * (latency - kind.smoothed);
+  if (served) LearnUncongestedLatency(endpoint, latency);
   if (own.uncongested <= 0) return;
   const double congestion = std::sqrt(own.smoothed / own.uncongested * kind.smoothed / kind.uncongested);
-  const double overuse = reports_.Overuse(endpoint);
+  const double excess_utilization = reports_.ExcessUtilization(endpoint);
   const double gradient =
-      std::clamp(std::min(Slack() / congestion, 1 - kUtilizationGain * overuse), kMinGradient, 1.0);
+      std::clamp(std::min(LatencyTolerance() / congestion, 1 - kUtilizationGain * excess_utilization),
+                 kMinGradient, 1.0);
   double& limit = endpoint.concurrency.limit;
-  const bool may_grow = overuse <= 0 && served;
-  const double growth = may_grow ? kGrowth * std::sqrt(limit / subset_.gateways_per_endpoint()) : 0;
+  const bool may_grow = excess_utilization <= 0 && served;
+  const double growth =
+      may_grow ? kGrowthPerSquareRoot * std::sqrt(limit / subset_.gateways_per_endpoint()) : 0;
   const double target = limit * gradient + growth;
-  const bool is_used = 2.0 * (endpoint.in_flight + 1) >= limit;
-  if (target > limit && !is_used) return;  // no evidence
-  limit = std::max(MinLimit(), limit + (target - limit) / std::max(kMinSamplesToMove, limit));
+  const bool is_limit_used = 2.0 * (endpoint.in_flight + 1) >= limit;
+  if (target > limit && !is_limit_used) return;  // nothing shows that the endpoint could take more
+  limit = std::max(MinLimit(), limit + (target - limit) / std::max(kMinSamplesToTarget, limit));
 }
 
-void ConcurrencyLimiter::LearnUncongested(EndpointRecord& endpoint, double latency) const {
+// Updates the uncongested latency of an endpoint and of its kind. An endpoint with few samples combines its
+// own average with the uncongested latency of its kind.
+void ConcurrencyLimiter::LearnUncongestedLatency(EndpointRecord& endpoint, double latency) const {
   LatencyEstimate& kind = endpoint.kind->latency;
-  kind.average += WeightOf(kAverageWeight, kind.samples) * (latency - kind.average);
+  kind.average += SampleWeight(kAverageLatencyWeight, kind.samples) * (latency - kind.average);
   if (kind.samples < kMinKindSamples || kind.average < kind.uncongested) kind.uncongested = kind.average;
-  kind.uncongested += kKindUncongestedDrift * (kind.average - kind.uncongested);
+  kind.uncongested += kKindUncongestedDriftPerSample * (kind.average - kind.uncongested);
   LatencyEstimate& own = endpoint.latency;
-  own.average += WeightOf(kAverageWeight, own.samples) * (latency - own.average);
-  const double known = std::min(1.0, own.samples * kAverageWeight);
-  if (known < 1) {
-    own.uncongested = known * own.average + (1 - known) * kind.uncongested;
+  own.average += SampleWeight(kAverageLatencyWeight, own.samples) * (latency - own.average);
+  const double own_weight = std::min(1.0, own.samples * kAverageLatencyWeight);
+  if (own_weight < 1) {
+    own.uncongested = own_weight * own.average + (1 - own_weight) * kind.uncongested;
   } else {
     own.uncongested = std::min(own.uncongested, own.average);
   }
-  own.uncongested += kUncongestedDrift * (own.smoothed - own.uncongested);
+  own.uncongested += kUncongestedDriftPerSample * (own.smoothed - own.uncongested);
 }
 
 }  // namespace meadowyard::decision
--- a/src/decision/concurrency_limiter.hpp
+++ b/src/decision/concurrency_limiter.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Concurrency limits: how many requests of this gateway an endpoint takes without queueing, learned from how
-/// its latency grows (a gradient limiter).
+/// Concurrency limits: how many requests of this gateway an endpoint can process at a time without queueing
+/// them. A gradient limiter: it learns the limit from the ratio of the current to the uncongested latency.
 #ifndef MEADOWYARD_DECISION_CONCURRENCY_LIMITER_HPP_
 #define MEADOWYARD_DECISION_CONCURRENCY_LIMITER_HPP_
 
@@ -12,33 +12,33 @@
 
 namespace meadowyard::decision {
 
-/// Weight of a new sample in an endpoint's smoothed latency.
+/// Weight of a new sample in an endpoint's exponentially smoothed latency.
 constexpr double kLatencyWeight = 0.1;
 
 class ConcurrencyLimiter {
  public:
-  /// All arguments outlive it.
+  /// Keeps references to all arguments, which must outlive the limiter.
   ConcurrencyLimiter(const Settings& settings, const SubsetSelector& subset, const LoadReportTracker& reports,
                      RandomSource& random)
       : settings_(settings), subset_(subset), reports_(reports), random_(random) {}
 
-  /// The endpoint is a new process: nothing that was measured holds for it.
+  /// Discards all measurements of an endpoint and sets the initial limit, because it is a new process.
   void Reset(EndpointRecord& endpoint) const;
-  /// Whether the endpoint can take one more request. Requests over a tenant's quota get a part of the limit
-  /// while the endpoint's kind is busy.
+  /// Whether the endpoint can take one more request. While endpoints of its kind are busy, only a part of the
+  /// limit is open to requests over their tenant's quota.
   [[nodiscard]] bool HasCapacity(const EndpointRecord& endpoint, bool within_quota, Millis now) const;
 
-  /// Learns from an attempt's latency, relative to its class.
+  /// Adjusts the limit by the latency of an attempt, relative to the latency of the request's class.
   void Measure(EndpointRecord& endpoint, double latency, bool served);
-  /// The endpoint has rejected a request: it pauses, so that its quick rejections, which leave it idle, don't
-  /// draw ever more to it.
+  /// Pauses an endpoint that has rejected a request for the time of one request. Rejections are fast and
+  /// leave the endpoint idle, so the load balancer would otherwise send it more and more requests.
   void PauseAfterRejection(EndpointRecord& endpoint, Millis now) const;
-  /// An attempt has ended: the limit is rounded anew, and an endpoint with a limit below 1 pauses.
+  /// Rounds the limit again after an attempt has ended, and pauses the endpoint if its limit is below 1.
   void OnAttemptEnded(EndpointRecord& endpoint, Millis latency, Millis now);
 
  private:
-  void LearnUncongested(EndpointRecord& endpoint, double latency) const;
-  [[nodiscard]] double Slack() const;
+  void LearnUncongestedLatency(EndpointRecord& endpoint, double latency) const;
+  [[nodiscard]] double LatencyTolerance() const;
   [[nodiscard]] double InitialLimit() const;
   [[nodiscard]] double MinLimit() const;
 
--- a/src/decision/load_report_tracker.hpp
+++ b/src/decision/load_report_tracker.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Load reports: the utilization that endpoints report with their answers.
+/// Load reports: tracks the utilization that endpoints report with their answers.
 #ifndef MEADOWYARD_DECISION_LOAD_REPORT_TRACKER_HPP_
 #define MEADOWYARD_DECISION_LOAD_REPORT_TRACKER_HPP_
 
@@ -14,25 +14,27 @@
 
 class LoadReportTracker {
  public:
-  /// `membership` outlives it.
+  /// Keeps a reference to `membership`, which must outlive the tracker.
   explicit LoadReportTracker(const GatewayMembership& membership) : membership_(membership) {}
 
-  /// The names of the values in a report.
+  /// Sets the names of the values in a report, in their order.
   void Configure(const std::vector<std::string>& fields);
-  /// Whether endpoints report their utilization at all.
-  [[nodiscard]] bool is_reported() const { return is_reported_; }
+  /// Whether reports contain the utilization.
+  [[nodiscard]] bool is_utilization_reported() const { return is_utilization_reported_; }
 
-  /// The endpoint is a new process.
+  /// Discards what was reported by an endpoint, because it is a new process.
   static void Reset(EndpointRecord& endpoint) { endpoint.utilization = 0; }
+  /// Updates the utilization of an endpoint and of its kind from a load report. Reports that are too short
+  /// and values that are negative or not a number are ignored.
   void Record(EndpointRecord& endpoint, const std::vector<double>& load) const;
-  /// How far an endpoint's utilization is above what leaves a reserve for the gateways, none of which knows
-  /// what the others send next; negative: below.
-  [[nodiscard]] double Overuse(const EndpointRecord& endpoint) const;
+  /// How far an endpoint's utilization exceeds its target; negative if it is below. The target leaves a
+  /// reserve, because no gateway knows what the others are about to send.
+  [[nodiscard]] double ExcessUtilization(const EndpointRecord& endpoint) const;
 
  private:
   const GatewayMembership& membership_;
-  std::size_t utilization_index_ = 0;  // in a report; past its end if it is not reported
-  bool is_reported_ = false;
+  std::size_t utilization_index_ = 0;  // in a report; past its end if it is not contained
+  bool is_utilization_reported_ = false;
 };
 
 }  // namespace meadowyard::decision
