--- a/src/decision/endpoint_tracker.cpp
+++ b/src/decision/endpoint_tracker.cpp
@@ -69,8 +69,9 @@
 // took tokens like any other.
 bool EndpointTracker::IsReady(EndpointRecord& endpoint, bool within_quota, double untimely_share,
                               Millis now) {
-  const bool has_capacity = subset_.IsShared() ? within_quota || untimely_share < kMaxUntimelyForOverQuota
-                                               : limiter_.HasCapacity(endpoint, within_quota, now);
+  const bool has_capacity = subset_.IsHeavilyShared()
+                                ? within_quota || untimely_share < kMaxUntimelyForOverQuota
+                                : limiter_.HasCapacity(endpoint, within_quota, now);
   return has_capacity && slow_start_.HasCredit(endpoint, now);
 }
 
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -31,7 +31,7 @@
   // A few samples of an endpoint tell little: where many gateways share it they are shrunk toward those of
   // its kind.
   const LatencyEstimate& kind = endpoint.kind->latency;
-  const double pooled_samples = subset_.IsShared() && kind.smoothed > 0 ? kPooledSamples : 0;
+  const double pooled_samples = subset_.IsHeavilyShared() && kind.smoothed > 0 ? kPooledSamples : 0;
   const double own_samples = std::min(1.0 * endpoint.latency.samples, 1 / kLatencyWeight);
   const double samples = own_samples + pooled_samples;
   double latency =
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -42,7 +42,7 @@
 
 void OutlierDetector::OnRejected(EndpointRecord& endpoint, Millis now) {
   OutlierState& state = endpoint.outlier;
-  const bool is_shared = subset_.IsShared();
+  const bool is_shared = subset_.IsHeavilyShared();
   if (is_shared) state.failure_rate += kFailureWeight * (1 - state.failure_rate);
   const bool is_leaving =
       is_shared && state.failure_rate > kEjectionThreshold && now - state.last_served_at > kPresumedDeadAfter;
@@ -62,7 +62,7 @@
   state.failure_rate += kFailureWeight * (failed - state.failure_rate);
   // Where many gateways overload service discovery, endpoints that have gone stay listed for long: each
   // speaks for itself alone, or with most of them gone none would be ejected.
-  const bool is_absent = evidence.connect_failed && subset_.IsShared();
+  const bool is_absent = evidence.connect_failed && subset_.IsHeavilyShared();
   if (!is_absent && !state.ejected) failure_rate_ += kOverallFailureWeight * (failed - failure_rate_);
 }
 
@@ -80,7 +80,7 @@
 
 void OutlierDetector::EjectIfFailing(EndpointRecord& endpoint, const AttemptEvidence& evidence, Millis now) {
   if (evidence.served || evidence.slow_request) return;
-  const bool is_absent = evidence.connect_failed && subset_.IsShared();
+  const bool is_absent = evidence.connect_failed && subset_.IsHeavilyShared();
   const double threshold = is_absent ? kEjectionThreshold : EjectionThreshold();
   if (endpoint.outlier.failure_rate > threshold || endpoint.outlier.ejected) Eject(endpoint, now);
 }
--- a/src/decision/rate_controller.cpp
+++ b/src/decision/rate_controller.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 Millis RateController::DispatchMemory() const {
-  return kDispatchMemory * (subset_.IsShared() ? kSharedMemoryFactor : 1);
+  return kDispatchMemory * (subset_.IsHeavilyShared() ? kSharedMemoryFactor : 1);
 }
 
 void RateController::Advance(Millis now, Millis passed) {
@@ -49,7 +49,8 @@
 
 void RateController::OnDispatch() {
   bucket_.Take();
-  dispatch_rate_ += kMillisPerSecond / kDispatchMemory / (subset_.IsShared() ? kSharedMemoryFactor : 1);
+  dispatch_rate_ +=
+      kMillisPerSecond / kDispatchMemory / (subset_.IsHeavilyShared() ? kSharedMemoryFactor : 1);
 }
 
 // The dispatch rate of the time that has passed: at the start, of less than its memory.
@@ -63,7 +64,7 @@
 // everywhere. It could hurt where limits are too high for what endpoints can do, until their latency has
 // taught better.
 bool RateController::IsCongested(int in_flight) const {
-  if (subset_.IsShared()) return true;  // no limit is kept there
+  if (subset_.IsHeavilyShared()) return true;  // no limit is kept there
   double limits = 0;
   for (const auto& [id, endpoint] : registry_.records()) {
     if (endpoint.in_subset && endpoint.up && !endpoint.outlier.ejected) limits += endpoint.concurrency.limit;
@@ -81,9 +82,9 @@
   const bool was_unreachable_or_full =
       result == AttemptResult::kConnectFailed || result == AttemptResult::kRejected;
   const bool is_silent = now - endpoint.outlier.last_served_at > kPresumedDeadAfter;
-  if (was_unreachable_or_full && subset_.IsShared() && is_silent) return false;
+  if (was_unreachable_or_full && subset_.IsHeavilyShared() && is_silent) return false;
   // An endpoint that is full pauses, which is all that its fullness asks for where limits are kept.
-  return result != AttemptResult::kRejected || subset_.IsShared();
+  return result != AttemptResult::kRejected || subset_.IsHeavilyShared();
 }
 
 void RateController::OnOutcome(const EndpointRecord& endpoint, AttemptResult result, bool is_timely,
@@ -92,7 +93,7 @@
   const double weight = std::clamp(1 / (1 + rate_), kMinUntimelyWeight, kMaxUntimelyWeight);
   untimely_share_ += weight * ((is_timely ? 0.0 : 1.0) - untimely_share_);
   if (is_timely) return Raise(now);
-  const double threshold = subset_.IsShared() ? kMaxUntimelyShared : kMaxUntimely;
+  const double threshold = subset_.IsHeavilyShared() ? kMaxUntimelyShared : kMaxUntimely;
   if (untimely_share_ > threshold && now >= no_reduction_before_ && IsCongested(in_flight)) Reduce(now);
 }
 
@@ -103,7 +104,7 @@
   double raise = kRaise;
   if (rate_ >= initial) {
     raise = kRaiseAboveInitial;
-  } else if (!subset_.IsShared()) {
+  } else if (!subset_.IsHeavilyShared()) {
     raise = std::min(kRaise, kMaxRaiseShare * rate_);
   }
   rate_ = std::min(rate_ + raise, std::max(initial, kMaxRateToDispatch * RecentDispatchRate(now)));
--- a/src/decision/request_processor.cpp
+++ b/src/decision/request_processor.cpp
@@ -245,7 +245,7 @@
 
 void RequestProcessor::RetryOrAnswer(RequestState& request, const AttemptOutcome& outcome, Millis now) {
   // A connection that never came up cost no endpoint any work.
-  const bool is_free = outcome.result == AttemptResult::kConnectFailed && use_.subset.IsShared();
+  const bool is_free = outcome.result == AttemptResult::kConnectFailed && use_.subset.IsHeavilyShared();
   const double price = is_free ? 0 : 1;
   if (!MayRetry(request, outcome, now) || !retry_budget_.CanAfford(price)) return Answer(request);
   retry_budget_.Spend(price);
--- a/src/decision/subset_selector.cpp
+++ b/src/decision/subset_selector.cpp
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-bool SubsetSelector::IsShared() const { return gateways_per_endpoint_ > kMaxGatewaysWithLimits; }
+bool SubsetSelector::IsHeavilyShared() const { return gateways_per_endpoint_ > kMaxGatewaysWithLimits; }
 
 void SubsetSelector::Select() {
   if (membership_.knows_peers() && settings_.subset_size > 0) {
--- a/src/decision/subset_selector.hpp
+++ b/src/decision/subset_selector.hpp
@@ -34,7 +34,7 @@
   /// Gateways that use each endpoint, on average; at least 1.
   [[nodiscard]] double gateways_per_endpoint() const { return gateways_per_endpoint_; }
   /// Whether so many gateways share an endpoint that none sees enough of it to keep a limit for it.
-  [[nodiscard]] bool IsShared() const;
+  [[nodiscard]] bool IsHeavilyShared() const;
 
  private:
   void SelectByRing();
