--- a/src/decision/gateway_membership.hpp
+++ b/src/decision/gateway_membership.hpp
@@ -1,8 +1,9 @@
 /// @file
-/// The gateways in front of the same endpoints, as this one counts them.
+/// How many gateways send requests to the same endpoints, as seen by this gateway.
 ///
-/// A gateway that has lost the majority may be alone, or the others may have lost it: its share stays what it
-/// was. One that has never been in contact counts all that are configured.
+/// A gateway without a quorum can't tell whether the other gateways have failed or only its own links to them
+/// have. It therefore keeps the share and the rank that it had. A gateway that has never had a quorum assumes
+/// that all configured gateways are present.
 #ifndef MEADOWYARD_DECISION_GATEWAY_MEMBERSHIP_HPP_
 #define MEADOWYARD_DECISION_GATEWAY_MEMBERSHIP_HPP_
 
@@ -13,25 +14,29 @@
 
 class GatewayMembership {
  public:
-  /// `settings` outlives it.
+  /// `settings` must outlive this object.
   explicit GatewayMembership(const Settings& settings) : settings_(settings) {}
 
-  /// Returns whether this gateway's share or rank has changed. The update's gossip is left to others.
+  /// Applies a membership update, except for its gossip, which other classes handle. Returns whether the
+  /// number of active gateways or this gateway's rank has changed, or this was the first update.
   [[nodiscard]] bool Apply(const MembershipUpdate& update, Millis now);
 
-  /// Gateways that what all share is divided among.
-  [[nodiscard]] int active() const { return knows_peers_ ? present_ : settings_.gateway_count; }
-  /// Whether gateways know each other at all: an update has come.
+  /// Number of gateways that shared capacity is divided among.
+  [[nodiscard]] int active() const { return knows_peers_ ? present_count_ : settings_.gateway_count; }
+  /// Whether any membership update has been received.
   [[nodiscard]] bool knows_peers() const { return knows_peers_; }
+  /// Whether this gateway is in contact with a majority of the configured gateways.
   [[nodiscard]] bool HasQuorum(Millis now) const { return now < quorum_until_; }
-  [[nodiscard]] int configured() const { return configured_; }
+  /// Number of gateways that are configured, present or not.
+  [[nodiscard]] int configured_count() const { return configured_count_; }
+  /// Rank of this gateway among the gateways that are present, from 0.
   [[nodiscard]] int rank() const { return rank_; }
 
  private:
   const Settings& settings_;
   bool knows_peers_ = false;
-  int configured_ = 1;
-  int present_ = 1;
+  int configured_count_ = 1;
+  int present_count_ = 1;
   int rank_ = 0;
   Millis quorum_until_ = kNever;
 };
--- a/src/decision/subset_selector.hpp
+++ b/src/decision/subset_selector.hpp
@@ -1,11 +1,15 @@
 /// @file
 /// Subsetting: which endpoints this gateway uses.
 ///
-/// Where many gateways share the endpoints each keeps to a few: a few requests a second over all of them tell
-/// nothing of any, and connections would fill the endpoints' tables. Without membership, gateways start at a
-/// multiple of the golden ratio on a ring of the endpoints, on which kinds lie evenly, so that any run of
-/// gateways covers it. With membership the subset is that of SubsetAssignment. The next endpoint replaces one
-/// that is ejected.
+/// Where many gateways share the endpoints, each gateway uses only a subset. If a gateway spread its few
+/// requests per second over all endpoints, it would have too few samples of each to assess it, and
+/// connections from every gateway would fill the endpoints' connection tables.
+///
+/// Without membership updates or a configured subset size, the subset is a run of consecutive endpoints on a
+/// ring. Endpoints of each kind are spaced evenly on the ring, and each gateway starts at its own multiple of
+/// the golden ratio, so that gateways with consecutive indexes cover the ring evenly. Otherwise the subset is
+/// the one of SubsetAssignment. In both cases each ejected endpoint of the subset is replaced by the next
+/// one.
 #ifndef MEADOWYARD_DECISION_SUBSET_SELECTOR_HPP_
 #define MEADOWYARD_DECISION_SUBSET_SELECTOR_HPP_
 
@@ -21,29 +25,31 @@
 
 class SubsetSelector {
  public:
-  /// `settings`, `membership` and `registry` outlive it. `ring_position`: of this gateway, from 0 to 1, where
-  /// gateways don't know each other.
+  /// `settings`, `membership` and `registry` must outlive this object. `ring_position`: where this gateway's
+  /// subset starts on the ring, from 0 to 1; not used with membership updates and a configured subset size.
   SubsetSelector(const Settings& settings, const GatewayMembership& membership, EndpointRegistry& registry,
                  double ring_position)
       : settings_(settings), membership_(membership), registry_(registry), ring_position_(ring_position) {}
 
-  /// Marks the endpoints of the subset (EndpointRecord::in_subset). To be called whenever endpoints come, go,
-  /// are ejected or restored, and when the settings or the membership have changed.
+  /// Marks the endpoints of the subset (EndpointRecord::in_subset). Must be called whenever endpoints are
+  /// added, removed, ejected or restored, and when the settings or the membership have changed.
   void Select();
 
-  /// Gateways that use each endpoint, on average; at least 1.
+  /// Average number of gateways that use an endpoint; at least 1.
   [[nodiscard]] double gateways_per_endpoint() const { return gateways_per_endpoint_; }
-  /// Whether so many gateways share an endpoint that none sees enough of it to keep a limit for it.
+  /// Whether so many gateways share each endpoint that one gateway has too few samples of an endpoint to keep
+  /// a concurrency limit for it.
   [[nodiscard]] bool IsHeavilyShared() const;
 
  private:
   void SelectByRing();
   void SelectByRank();
   std::vector<EndpointRecord*> BuildRing();
-  std::size_t AssignedSize(std::size_t endpoints) const;
+  std::size_t AssignedSubsetSize(std::size_t endpoints) const;
   void AssignByRank(const std::vector<EndpointRecord*>& endpoints, const std::vector<int>& groups,
                     std::size_t size);
-  void ReplaceEjected(const std::vector<EndpointRecord*>& endpoints, int replacements);
+  void ReplaceEjected(const std::vector<EndpointRecord*>& endpoints, int replacement_count);
+  // Hash of all inputs of the assignment.
   std::uint64_t Fingerprint(const std::vector<EndpointRecord*>& endpoints) const;
 
   const Settings& settings_;
@@ -51,8 +57,8 @@
   EndpointRegistry& registry_;
   const double ring_position_;
   double gateways_per_endpoint_ = 1;
-  std::vector<std::string> assigned_ids_;   // by rank, cached
-  std::uint64_t assigned_fingerprint_ = 0;  // what they were computed from
+  std::vector<std::string> assigned_ids_;   // subset of this gateway's rank, before replacements
+  std::uint64_t assigned_fingerprint_ = 0;  // of the inputs that `assigned_ids_` was computed from
 };
 
 }  // namespace meadowyard::decision
--- a/src/decision/zone_router.cpp
+++ b/src/decision/zone_router.cpp
@@ -9,10 +9,13 @@
 namespace meadowyard::decision {
 namespace {
 
-constexpr Millis kAttemptMemory = 1000;  // ms over which what is seen of a zone fades
+constexpr Millis kAttemptDecayTimeConstant =
+    1000;  // ms; attempt counts decay to 1/e of their value in this time
 constexpr double kMillisPerSecond = 1000;
 
-double RemainingShare(Millis updated_at, Millis now) { return std::exp((updated_at - now) / kAttemptMemory); }
+double DecayFactor(Millis updated_at, Millis now) {
+  return std::exp((updated_at - now) / kAttemptDecayTimeConstant);
+}
 
 }  // namespace
 
@@ -28,7 +31,8 @@
   overflow_share_ = computed.overflow_share;
 }
 
-// A retry is no failover of its gateway: it may go anywhere, and the retry budget bounds them all.
+// Only first attempts are routed by zone. A retry may go to any zone: it is not part of the traffic that the
+// gateway moves on a failover, and the retry budget limits the volume of all retries.
 const std::string* ZoneRouter::ZoneFor(const RequestState& request) const {
   if (!settings_.zone_routing.enabled || request.IsPinned() || !request.IsFirstAttempt()) return nullptr;
   if (weights_.empty()) {
@@ -38,20 +42,20 @@
     });
     return has_endpoint ? &settings_.zone : nullptr;
   }
-  double upper_bound = 0;
+  double cumulative_weight = 0;
   for (const Policy::ZoneWeight& zone : weights_) {
-    upper_bound += zone.weight;
-    if (request.zone_draw < upper_bound) return &zone.zone;
+    cumulative_weight += zone.weight;
+    if (request.zone_draw < cumulative_weight) return &zone.zone;
   }
-  return &weights_.back().zone;  // the agreement is newer than the request
+  return &weights_.back().zone;  // a newer agreement may have lowered the sum of the weights
 }
 
 void ZoneRouter::CountAttempt(const std::string& zone, bool within_objective, Millis now) {
   if (!settings_.zone_routing.enabled) return;
   AttemptCounts& counts = attempts_[zone];
-  const double remaining = RemainingShare(counts.updated_at, now);
-  counts.completed = counts.completed * remaining + 1;
-  counts.within_objective = counts.within_objective * remaining + (within_objective ? 1 : 0);
+  const double decay_factor = DecayFactor(counts.updated_at, now);
+  counts.completed = counts.completed * decay_factor + 1;
+  counts.within_objective = counts.within_objective * decay_factor + (within_objective ? 1 : 0);
   counts.updated_at = now;
 }
 
@@ -61,14 +65,15 @@
     if (!endpoint.up) continue;
     ZoneLoad& load = by_zone[endpoint.info.zone];
     load.capacity += endpoint.info.weight;
-    // An endpoint counts once it is warm: until then its credit lets little through, and the rest would wait.
+    // A warming endpoint doesn't count as available: its slow-start credit admits only a few requests, and
+    // the others would queue.
     if (!endpoint.outlier.ejected && slow_start_.IsWarm(endpoint, now))
       load.available += endpoint.info.weight;
   }
   for (const auto& [name, counts] : attempts_) {
-    const double remaining = RemainingShare(counts.updated_at, now);
-    by_zone[name].completed = counts.completed * remaining;
-    by_zone[name].within_objective = counts.within_objective * remaining;
+    const double decay_factor = DecayFactor(counts.updated_at, now);
+    by_zone[name].completed = counts.completed * decay_factor;
+    by_zone[name].within_objective = counts.within_objective * decay_factor;
   }
   ZoneLoadReport report{.zone = settings_.zone, .arrival_rate = arrival_rate * kMillisPerSecond, .zones = {}};
   for (auto& [name, load] : by_zone) {
--- a/src/decision/zone_weights.cpp
+++ b/src/decision/zone_weights.cpp
@@ -7,109 +7,120 @@
 namespace meadowyard::decision {
 namespace {
 
-constexpr double kMinDemand = 0.01;  // requests per second: without any, shares would have no meaning
+// Requests per second. Added to the demand of each zone, because shares of a total demand of 0 are undefined.
+constexpr double kBaseZoneDemand = 0.01;
 
-// What one zone has to give away or to offer, in requests per second.
-struct Balance {
+// Demand and capacity of one zone, in requests per second. `region`: zones with the same number are near each
+// other.
+struct ZoneBalance {
   const std::string* zone = nullptr;
-  double overflow = 0;   // demand that it can't serve itself
-  double capacity = 0;   // for others; below 0: it has too much of its own
-  double allowance = 0;  // that it opens to others in each of the two steps
+  double overflow = 0;                 // demand that the zone can't serve itself
+  double capacity = 0;                 // spare capacity for other zones; below 0: its own demand exceeds it
+  double extra_capacity_per_step = 0;  // for overflow of others, added in each of the two steps
   int region = 0;
 };
 
+// Sums over all zones: demand in requests per second, capacity in weights of endpoints.
 struct Totals {
   double demand = 0;
   double capacity = 0;
   double available = 0;
 };
 
-// Of the zones that share their overflow: what is to be placed, and what there is capacity for.
-struct Pool {
+// Total overflow and spare capacity of the zones that exchange overflow in one step.
+struct CapacityPool {
   double overflow = 0;
   double capacity = 0;
 };
 
-double DemandOf(const ZoneAgreement::Zone& zone) { return zone.demand + kMinDemand; }
+double ZoneDemand(const ZoneAgreement::Zone& zone) { return zone.demand + kBaseZoneDemand; }
 
-Totals TotalsOf(const ZoneAgreement& agreement) {
+Totals SumZones(const ZoneAgreement& agreement) {
   Totals totals;
   for (const ZoneAgreement::Zone& zone : agreement.zones) {
-    totals.demand += DemandOf(zone);
+    totals.demand += ZoneDemand(zone);
     totals.capacity += zone.capacity;
     totals.available += zone.capacity * zone.health;
   }
   return totals;
 }
 
-bool Contains(const ZoneAgreement& agreement, const std::string& name) {
+bool ContainsZone(const ZoneAgreement& agreement, const std::string& name) {
   return std::any_of(agreement.zones.begin(), agreement.zones.end(),
                      [&](const ZoneAgreement::Zone& zone) { return zone.name == name; });
 }
 
-class Distribution {
+// Distributes the overflow of all zones over the spare capacity of the others, in two steps, and records the
+// part that concerns the own zone.
+class OverflowDistributor {
  public:
-  Distribution(const ZoneRoutingSettings& settings, const ZoneAgreement& agreement,
-               const std::string& own_zone)
-      : settings_(settings), totals_(TotalsOf(agreement)) {
+  OverflowDistributor(const ZoneRoutingSettings& settings, const ZoneAgreement& agreement,
+                      const std::string& own_zone)
+      : settings_(settings), totals_(SumZones(agreement)) {
     for (const ZoneAgreement::Zone& zone : agreement.zones) AddZone(zone, zone.name == own_zone);
   }
 
-  // One step: to zones of the same region, or to any.
+  // Performs one step: places overflow in zones of the same region, or in any zone.
   void Distribute(bool within_region) {
     const auto pool_of = [&](int region) { return within_region ? region : 0; };
-    std::map<int, Pool> pools;
-    for (Balance& balance : balances_) {
-      balance.capacity += balance.allowance;
-      Pool& pool = pools[pool_of(balance.region)];
+    std::map<int, CapacityPool> pools;
+    for (ZoneBalance& balance : balances_) {
+      balance.capacity += balance.extra_capacity_per_step;
+      CapacityPool& pool = pools[pool_of(balance.region)];
       pool.overflow += balance.overflow;
       pool.capacity += std::max(0.0, balance.capacity);
     }
-    for (Balance& balance : balances_) {
+    for (ZoneBalance& balance : balances_) {
       const bool is_reachable = !within_region || balance.region == own_region_;
-      Place(balance, pools[pool_of(balance.region)], is_reachable);
+      ApplyStep(balance, pools[pool_of(balance.region)], is_reachable);
     }
-    const Pool& own_pool = pools[pool_of(own_region_)];
+    const CapacityPool& own_pool = pools[pool_of(own_region_)];
     if (own_pool.overflow > 0) {
-      remainder_ *= 1 - std::min(own_pool.overflow, own_pool.capacity) / own_pool.overflow;
+      unplaced_share_ *= 1 - std::min(own_pool.overflow, own_pool.capacity) / own_pool.overflow;
     }
   }
 
-  // What finds no capacity stays in the own zone unless that has failed.
-  ZoneWeights Finish() {
+  // The share that no zone has capacity for stays in the own zone, unless that zone has failed (weight 0).
+  ZoneWeights TakeResult() {
     double& own_weight = result_.weights.front().weight;
-    if (own_weight > 0) own_weight += std::exchange(remainder_, 0);
-    result_.overflow_share = remainder_;
+    if (own_weight > 0) own_weight += std::exchange(unplaced_share_, 0);
+    result_.overflow_share = unplaced_share_;
     return std::move(result_);
   }
 
  private:
   void AddZone(const ZoneAgreement::Zone& zone, bool is_own) {
-    // Where most has failed everywhere it is no zone's fault, and routing elsewhere helps no request.
+    // Panic mode: when most capacity over all zones is unavailable, the cause is not local to one zone, and
+    // moving traffic between zones helps no request. All zones then count as healthy.
     const bool is_panic = totals_.available < settings_.panic_threshold * totals_.capacity;
     const double health = is_panic ? 1 : zone.health;
-    const double served = std::min(1.0, settings_.overprovisioning * health);
-    const double share = served < 1 ? 0 : health * zone.capacity / totals_.capacity * totals_.demand;
-    const auto known = settings_.regions.find(zone.name);
-    const int own_region = -1 - static_cast<int>(balances_.size());  // of its own
-    balances_.push_back({.zone = &zone.name,
-                         .overflow = DemandOf(zone) * (1 - served),
-                         .capacity = share - DemandOf(zone),
-                         .allowance = settings_.max_overflow * share / 2,
-                         .region = known != settings_.regions.end() ? known->second : own_region});
+    const double served_share = std::min(1.0, settings_.overprovisioning * health);
+    const double proportional_demand =
+        served_share < 1 ? 0 : health * zone.capacity / totals_.capacity * totals_.demand;
+    const auto region_entry = settings_.regions.find(zone.name);
+    // A zone without a configured region is a region of its own.
+    const int unique_region = -1 - static_cast<int>(balances_.size());
+    balances_.push_back(
+        {.zone = &zone.name,
+         .overflow = ZoneDemand(zone) * (1 - served_share),
+         .capacity = proportional_demand - ZoneDemand(zone),
+         .extra_capacity_per_step = settings_.max_overflow * proportional_demand / 2,
+         .region = region_entry != settings_.regions.end() ? region_entry->second : unique_region});
     if (!is_own) return;
-    remainder_ = 1 - served;
+    unplaced_share_ = 1 - served_share;
     own_region_ = balances_.back().region;
-    result_.weights.push_back({.zone = zone.name, .weight = served});
+    result_.weights.push_back({.zone = zone.name, .weight = served_share});
   }
 
-  void Place(Balance& balance, const Pool& pool, bool is_reachable) {
+  // Subtracts from a zone the overflow that was placed and the capacity that was used in a step. If the own
+  // zone may send requests there in this step, adds the zone's weight to the result.
+  void ApplyStep(ZoneBalance& balance, const CapacityPool& pool, bool is_reachable) {
     const double placed = std::min(pool.overflow, pool.capacity);
     if (placed <= 0) return;
     balance.overflow -= placed * balance.overflow / pool.overflow;
     if (balance.capacity <= 0) return;
     if (is_reachable) {
-      const double weight = remainder_ * placed / pool.overflow * balance.capacity / pool.capacity;
+      const double weight = unplaced_share_ * placed / pool.overflow * balance.capacity / pool.capacity;
       result_.weights.push_back({.zone = *balance.zone, .weight = weight});
     }
     balance.capacity -= placed * balance.capacity / pool.capacity;
@@ -117,8 +128,8 @@
 
   const ZoneRoutingSettings& settings_;
   const Totals totals_;
-  std::vector<Balance> balances_;
-  double remainder_ = 1;  // of the own zone's demand, not placed yet
+  std::vector<ZoneBalance> balances_;
+  double unplaced_share_ = 1;  // share of the own zone's demand that has not been placed in a zone yet
   int own_region_ = 0;
   ZoneWeights result_;
 };
@@ -127,12 +138,12 @@
 
 ZoneWeights ComputeZoneWeights(const ZoneRoutingSettings& settings, const ZoneAgreement& agreement,
                                const std::string& own_zone) {
-  if (!settings.enabled || !Contains(agreement, own_zone)) return {};
-  if (TotalsOf(agreement).capacity <= 0) return {};
-  Distribution distribution(settings, agreement, own_zone);
-  distribution.Distribute(/*within_region=*/true);
-  distribution.Distribute(/*within_region=*/false);
-  return distribution.Finish();
+  if (!settings.enabled || !ContainsZone(agreement, own_zone)) return {};
+  if (SumZones(agreement).capacity <= 0) return {};
+  OverflowDistributor distributor(settings, agreement, own_zone);
+  distributor.Distribute(/*within_region=*/true);
+  distributor.Distribute(/*within_region=*/false);
+  return distributor.TakeResult();
 }
 
 }  // namespace meadowyard::decision
--- a/src/decision/zone_weights.hpp
+++ b/src/decision/zone_weights.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Computes how much of a gateway's traffic each zone gets, from the agreed state of the zones.
+/// Computes the share of a gateway's requests that each zone gets, from the agreed state of the zones.
 #ifndef MEADOWYARD_DECISION_ZONE_WEIGHTS_HPP_
 #define MEADOWYARD_DECISION_ZONE_WEIGHTS_HPP_
 
@@ -11,15 +11,16 @@
 namespace meadowyard::decision {
 
 struct ZoneWeights {
-  std::vector<Policy::ZoneWeight>
-      weights;                ///< Of the requests of a gateway in the own zone; that zone first.
-  double overflow_share = 0;  ///< Of its requests, that no zone has capacity for.
+  /// Shares of the requests of a gateway in the own zone. The own zone comes first.
+  std::vector<Policy::ZoneWeight> weights;
+  double overflow_share = 0;  ///< Share of these requests that no zone has capacity for.
 };
 
-/// All gateways compute alike, each for its own zone: what that can't serve goes first where there is
-/// capacity in its region, then wherever there is any. What finds none stays; where the own zone has failed
-/// it is rejected, for it would overload the zones that are left. Empty if routing by zone is off, or the own
-/// zone is not among those agreed on.
+/// Deterministic: every gateway computes the weights of its own zone from the same agreement. Demand that the
+/// own zone can't serve goes to spare capacity in the same region first, then to spare capacity in any zone.
+/// The rest stays in the own zone; if that zone has failed, the rest is rejected, because it would overload
+/// the remaining zones. Returns no weights if zone routing is disabled, if the agreement doesn't contain the
+/// own zone, or if its total capacity is 0.
 ZoneWeights ComputeZoneWeights(const ZoneRoutingSettings& settings, const ZoneAgreement& agreement,
                                const std::string& own_zone);
 
