--- a/examples/consumer/main.cpp
+++ b/examples/consumer/main.cpp
@@ -1,4 +1,5 @@
-// One request from its arrival to its answer, through the public header alone.
+/// @file
+/// Example: handles one request from its arrival to its outcome, using only the public header.
 #include <iostream>
 #include <meadowyard/policy.hpp>
 #include <string>
@@ -6,8 +7,9 @@
 
 namespace {
 
-constexpr meadowyard::Millis kArrival = 5;
-constexpr meadowyard::Millis kResponse = 36;
+// Instants on the clock of this example, in milliseconds.
+constexpr meadowyard::Millis kArrivedAt = 5;
+constexpr meadowyard::Millis kRespondedAt = 36;
 
 meadowyard::Settings MakeSettings() {
   meadowyard::TrafficClassSettings page;
@@ -20,7 +22,7 @@
   return settings;
 }
 
-/// Reports the only endpoint there is, which has to come before the first request.
+/// Reports a list of one endpoint. Policy starts no attempt before it has received an endpoint list.
 void ReportEndpoints(meadowyard::Policy& policy, std::vector<meadowyard::Action>& actions) {
   meadowyard::Endpoint endpoint;
   endpoint.id = "10.0.0.7:8080";
@@ -30,16 +32,16 @@
   policy.Handle(0, update, actions);
 }
 
-/// Reports that the endpoint has answered an attempt, as the gateway does.
+/// Reports that the endpoint has served an attempt, as a gateway does when the response is complete.
 void ReportServed(meadowyard::Policy& policy, const meadowyard::StartAttempt& attempt) {
   meadowyard::AttemptOutcome outcome;
   outcome.request = attempt.request;
   outcome.endpoint = attempt.endpoint;
   outcome.result = meadowyard::AttemptResult::kServed;
   outcome.request_finished = true;
-  outcome.latency = kResponse - kArrival;
+  outcome.latency = kRespondedAt - kArrivedAt;
   std::vector<meadowyard::Action> actions;
-  policy.Handle(kResponse, outcome, actions);
+  policy.Handle(kRespondedAt, outcome, actions);
 }
 
 }  // namespace
@@ -54,7 +56,7 @@
   request.class_name = "page";
   request.time_left = 1000;
   actions.clear();
-  policy.Handle(kArrival, request, actions);
+  policy.Handle(kArrivedAt, request, actions);
   for (const meadowyard::Action& action : actions) {
     if (const auto* attempt = std::get_if<meadowyard::StartAttempt>(&action)) {
       std::cout << "start " << attempt->request << " at " << attempt->endpoint << "\n";
