--- a/src/decision/subset_selector.hpp
+++ b/src/decision/subset_selector.hpp
@@ -5,11 +5,11 @@
 /// requests per second over all endpoints, it would have too few samples of each to assess it, and
 /// connections from every gateway would fill the endpoints' connection tables.
 ///
-/// Without membership updates or a configured subset size, the subset is a run of consecutive endpoints on a
-/// ring. Endpoints of each kind are spaced evenly on the ring, and each gateway starts at its own multiple of
-/// the golden ratio, so that gateways with consecutive indexes cover the ring evenly. Otherwise the subset is
-/// the one of SubsetAssignment. In both cases each ejected endpoint of the subset is replaced by the next
-/// one.
+/// Unless membership updates arrive and Settings::subset_size is set, the subset is a run of consecutive
+/// endpoints on a ring. Endpoints of each kind are spaced evenly on the ring, and each gateway starts at its
+/// own multiple of the golden ratio, so that gateways with consecutive indexes cover the ring evenly.
+/// Otherwise the subset is the one of SubsetAssignment. In both cases each ejected endpoint of the subset is
+/// replaced by the next one.
 #ifndef MEADOWYARD_DECISION_SUBSET_SELECTOR_HPP_
 #define MEADOWYARD_DECISION_SUBSET_SELECTOR_HPP_
 
@@ -26,7 +26,7 @@
 class SubsetSelector {
  public:
   /// `settings`, `membership` and `registry` must outlive this object. `ring_position`: where this gateway's
-  /// subset starts on the ring, from 0 to 1; not used with membership updates and a configured subset size.
+  /// subset starts on the ring, from 0 to 1; used only where the subset is taken from the ring.
   SubsetSelector(const Settings& settings, const GatewayMembership& membership, EndpointRegistry& registry,
                  double ring_position)
       : settings_(settings), membership_(membership), registry_(registry), ring_position_(ring_position) {}
--- a/tests/decision/subset_selector_test.cpp
+++ b/tests/decision/subset_selector_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Subsets of endpoints.
+/// Tests of the size of the subsets and of how evenly they cover the endpoints.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,33 +11,38 @@
 namespace meadowyard::testing {
 namespace {
 
-TEST(SubsetSelector, HundredsOfGatewaysSpreadEvenlyOverFewEndpointsEach) {
-  std::map<std::string, int> users;
-  std::size_t most = 0;
-  Settings s = MakeSettings();
-  s.gateway_count = 300;
-  for (s.gateway_index = 0; s.gateway_index < s.gateway_count; ++s.gateway_index) {
-    PolicyDriver g(s, s.gateway_index);
-    g.Snapshot(MakeEndpoints(60));
-    const auto taken = g.Serve(60, 200);
-    for (const auto& [id, n] : taken) ++users[id];
-    most = std::max(most, taken.size());
+// Guards against endpoints that are used by many more or fewer gateways than others: 300 gateways, each with
+// a few of 60 endpoints, choose their subsets independently of each other.
+TEST(SubsetSelector, EachOfManyGatewaysUsesFewEndpointsAndEndpointsAreUsedEvenly) {
+  std::map<std::string, int> gateways_by_endpoint;
+  std::size_t largest_subset = 0;
+  Settings settings = MakeSettings();
+  settings.gateway_count = 300;
+  for (settings.gateway_index = 0; settings.gateway_index < settings.gateway_count;
+       ++settings.gateway_index) {
+    PolicyDriver gateway(settings, settings.gateway_index);
+    gateway.Snapshot(MakeEndpoints(60));
+    const auto requests_by_endpoint = gateway.Serve(60, 200);
+    for (const auto& [id, count] : requests_by_endpoint) ++gateways_by_endpoint[id];
+    largest_subset = std::max(largest_subset, requests_by_endpoint.size());
   }
-  EXPECT_LE(most, 9u);
-  ASSERT_EQ(users.size(), 60u);
-  for (const auto& [id, n] : users) EXPECT_TRUE(n >= 20 && n <= 50) << id << " " << n;
+  EXPECT_LE(largest_subset, 9u);
+  ASSERT_EQ(gateways_by_endpoint.size(), 60u);
+  for (const auto& [id, count] : gateways_by_endpoint)
+    EXPECT_TRUE(count >= 20 && count <= 50) << id << " " << count;
 }
 
-TEST(SubsetSelector, IsHalfAsLargeWhereConnectionsStayOpen) {
-  Settings s = MakeSettings();
-  s.gateway_count = 100;
-  s.gateway_index = 7;
-  PolicyDriver one(s);
-  one.Snapshot(MakeEndpoints(30));
-  s.streams_per_connection = 100;
-  PolicyDriver held(s);
-  held.Snapshot(MakeEndpoints(30));
-  EXPECT_EQ(one.Serve(100, 200).size(), 2 * held.Serve(100, 200).size());
+// Multiplexed connections stay open, so a full-size subset would fill the connection tables of the endpoints.
+TEST(SubsetSelector, SubsetIsHalvedForMultiplexedConnections) {
+  Settings settings = MakeSettings();
+  settings.gateway_count = 100;
+  settings.gateway_index = 7;
+  PolicyDriver single_stream(settings);
+  single_stream.Snapshot(MakeEndpoints(30));
+  settings.streams_per_connection = 100;
+  PolicyDriver multiplexed(settings);
+  multiplexed.Snapshot(MakeEndpoints(30));
+  EXPECT_EQ(single_stream.Serve(100, 200).size(), 2 * multiplexed.Serve(100, 200).size());
 }
 
 }  // namespace
