--- a/src/membership/heartbeat_codec.cpp
+++ b/src/membership/heartbeat_codec.cpp
@@ -14,11 +14,11 @@
 using nlohmann::json;
 
 constexpr std::uint64_t kFormatVersion = 1;
-constexpr std::size_t kMaxEntries = 256;  // of each list, and gateways in a peers file
+constexpr std::size_t kMaxListEntries = 256;  // of each list; also the maximum of the `listed` field
 constexpr std::size_t kMaxTextBytes = 128;
-constexpr double kMaxNumber = 1e9;  // of ages in ms, and of counts and rates in a zone load report
+constexpr double kMaxNumber = 1e9;  // maximum of ages in ms, and of counts and rates in a zone load report
 
-// The keys of the map, which are independent of the names of the fields.
+// Keys of the CBOR map. They are part of the wire format and don't follow the names of the C++ fields.
 constexpr const char* kVersionKey = "v";
 constexpr const char* kSenderKey = "from";
 constexpr const char* kIncarnationKey = "life";
@@ -28,42 +28,42 @@
 constexpr const char* kAcknowledgementsKey = "hears";  // [[member, incarnation, sequence], ...]
 constexpr const char* kStartedKey = "started";         // [[endpoint, age], ...]
 constexpr const char* kRecoveredKey = "recovered";     // [endpoint, ...]
-// The zone load report: all three keys, or none.
+// Zone load report: a message has all three keys or none of them.
 constexpr const char* kZoneKey = "zone";
 constexpr const char* kArrivalRateKey = "arriving";
 constexpr const char* kZonesKey = "zones";  // [[zone, capacity, available, completed, within_objective], ...]
 
 json EncodeAcknowledgements(const std::vector<Heartbeat::Acknowledgement>& acknowledgements) {
   json list = json::array();
-  for (const Heartbeat::Acknowledgement& each : acknowledgements) {
-    list.push_back({each.member, each.incarnation, each.sequence});
+  for (const Heartbeat::Acknowledgement& entry : acknowledgements) {
+    list.push_back({entry.member, entry.incarnation, entry.sequence});
   }
   return list;
 }
 
 json EncodeStarted(const std::vector<Heartbeat::EndpointStart>& started) {
   json list = json::array();
-  for (const Heartbeat::EndpointStart& each : started) list.push_back({each.endpoint, each.age});
+  for (const Heartbeat::EndpointStart& entry : started) list.push_back({entry.endpoint, entry.age});
   return list;
 }
 
 json EncodeZones(const std::vector<ZoneLoad>& zones) {
   json list = json::array();
-  for (const ZoneLoad& each : zones) {
+  for (const ZoneLoad& entry : zones) {
     if (list.size() == coordination::kMaxZones) break;
-    list.push_back({each.zone, each.capacity, each.available, each.completed, each.within_objective});
+    list.push_back({entry.zone, entry.capacity, entry.available, entry.completed, entry.within_objective});
   }
   return list;
 }
 
 std::string ReadName(const CborValue& value) { return value.Text(1, kMaxTextBytes); }
-// A gateway or an endpoint may be in no zone.
+// The name is empty for a gateway or endpoint without a zone.
 std::string ReadZoneName(const CborValue& value) { return value.Text(0, kMaxTextBytes); }
 double ReadNumber(const CborValue& value) { return value.Number(0, kMaxNumber); }
 
 std::vector<Heartbeat::Acknowledgement> DecodeAcknowledgements(const CborValue& list) {
   std::vector<Heartbeat::Acknowledgement> acknowledgements;
-  for (const CborValue& item : list.Elements(kMaxEntries)) {
+  for (const CborValue& item : list.Elements(kMaxListEntries)) {
     acknowledgements.push_back({.member = ReadName(item.Element(0)),
                                 .incarnation = item.Element(1).Unsigned(),
                                 .sequence = item.Element(2).Unsigned()});
@@ -73,7 +73,7 @@
 
 std::vector<Heartbeat::EndpointStart> DecodeStarted(const CborValue& list) {
   std::vector<Heartbeat::EndpointStart> started;
-  for (const CborValue& item : list.Elements(kMaxEntries)) {
+  for (const CborValue& item : list.Elements(kMaxListEntries)) {
     started.push_back({.endpoint = ReadName(item.Element(0)), .age = ReadNumber(item.Element(1))});
   }
   return started;
@@ -93,7 +93,7 @@
   return report;
 }
 
-// Throws ProtocolError.
+// Throws ProtocolError if a field is missing, of another kind or out of range.
 Heartbeat Decode(const CborValue& message) {
   if (message.Field(kVersionKey).Unsigned() != kFormatVersion) throw ProtocolError("unknown version");
   Heartbeat heartbeat;
@@ -101,10 +101,10 @@
   heartbeat.incarnation = message.Field(kIncarnationKey).Unsigned();
   heartbeat.sequence = message.Field(kSequenceKey).Unsigned();
   heartbeat.list_hash = message.Field(kListHashKey).Unsigned();
-  heartbeat.configured = static_cast<int>(message.Field(kConfiguredKey).Integer(1, kMaxEntries));
+  heartbeat.configured = static_cast<int>(message.Field(kConfiguredKey).Integer(1, kMaxListEntries));
   heartbeat.acknowledgements = DecodeAcknowledgements(message.Field(kAcknowledgementsKey));
   heartbeat.started = DecodeStarted(message.Field(kStartedKey));
-  for (const CborValue& item : message.Field(kRecoveredKey).Elements(kMaxEntries)) {
+  for (const CborValue& item : message.Field(kRecoveredKey).Elements(kMaxListEntries)) {
     heartbeat.recovered.push_back(ReadName(item));
   }
   if (message.Has(kZoneKey)) heartbeat.zone_load = DecodeZoneLoad(message);
--- a/src/membership/heartbeat_codec.hpp
+++ b/src/membership/heartbeat_codec.hpp
@@ -1,6 +1,7 @@
 /// @file
-/// The wire format of heartbeats: a CBOR map (RFC 8949) with short keys. Readers ignore keys that they do not
-/// know. Gateways of different versions run side by side, so keys and kinds of values do not change.
+/// The wire format of heartbeats: a CBOR map (RFC 8949) with short keys. Receivers ignore unknown keys.
+/// Gateways of different versions run at the same time, so the keys and the types of their values must not
+/// change.
 #ifndef MEADOWYARD_MEMBERSHIP_HEARTBEAT_CODEC_HPP_
 #define MEADOWYARD_MEMBERSHIP_HEARTBEAT_CODEC_HPP_
 
@@ -17,10 +18,11 @@
 /// Longest datagram that is decoded, in bytes.
 constexpr std::size_t kMaxHeartbeatBytes = 8192;
 
-/// The datagram of a heartbeat. Zones beyond the limit of a message are left out.
+/// Encodes a heartbeat as one datagram. Zones beyond coordination::kMaxZones are omitted.
 std::vector<std::uint8_t> EncodeHeartbeat(const Heartbeat& heartbeat);
 
-/// Reads a datagram. Nothing if it is too long, or if any field is missing, of another kind or out of range.
+/// Decodes a datagram. Returns nullopt if it is too long, or if any field is missing, of another type or out
+/// of range.
 [[nodiscard]] std::optional<Heartbeat> DecodeHeartbeat(std::span<const std::uint8_t> datagram);
 
 }  // namespace meadowyard::membership
--- a/src/membership/membership_protocol.cpp
+++ b/src/membership/membership_protocol.cpp
@@ -20,16 +20,17 @@
   return names;
 }
 
-// A number that no earlier process has used. The gateway's own seed may be the same after a restart.
-std::uint64_t DrawFromDevice() {
+// Returns 64 bits from the random device, so that no earlier process has used the same number. The configured
+// seed of the gateway can't provide that: it may be the same after a restart.
+std::uint64_t ReadRandomDevice() {
   std::random_device device;
   return static_cast<std::uint64_t>(device()) << 32 | device();
 }
 
-// Uniform from 0 to 1, 1 excluded.
+// Uniformly distributed from 0 (included) to 1 (excluded).
 double UniformFraction(std::mt19937_64& random) {
-  constexpr double fractions = 9007199254740992.0;  // 2^53
-  return static_cast<double>(random() >> 11) / fractions;
+  constexpr double fraction_count = 9007199254740992.0;  // 2^53
+  return static_cast<double>(random() >> 11) / fraction_count;
 }
 
 }  // namespace
@@ -39,22 +40,22 @@
       delegate_(delegate),
       view_(MemberNames(config_), config_.self,
             {.suspect_timeout = config_.suspect_timeout, .dead_timeout = config_.dead_timeout},
-            DrawFromDevice(), core::Now()),
+            ReadRandomDevice(), core::Now()),
       transport_(io, config_.listen,
                  [this](const PeerTransport::Endpoint& sender, std::span<const std::uint8_t> datagram) {
                    OnDatagram(sender, datagram);
                  }),
-      timer_(io),
-      random_(DrawFromDevice()) {
+      heartbeat_timer_(io),
+      random_(ReadRandomDevice()) {
   SendHeartbeats();
 }
 
 std::optional<int> MembershipProtocol::FindMember(const std::string& name,
                                                   const PeerTransport::Endpoint& address) const {
-  const auto found = std::find_if(config_.peers.begin(), config_.peers.end(),
-                                  [&](const PeerAddress& peer) { return peer.name == name; });
-  if (found == config_.peers.end() || found->address != address) return std::nullopt;
-  return static_cast<int>(found - config_.peers.begin());
+  const auto peer_entry = std::find_if(config_.peers.begin(), config_.peers.end(),
+                                       [&](const PeerAddress& peer) { return peer.name == name; });
+  if (peer_entry == config_.peers.end() || peer_entry->address != address) return std::nullopt;
+  return static_cast<int>(peer_entry - config_.peers.begin());
 }
 
 void MembershipProtocol::OnDatagram(const PeerTransport::Endpoint& sender,
@@ -64,21 +65,21 @@
       OnHeartbeat(*member, *heartbeat);
       return;
     }
-  } else if (const auto received = coordination::DecodeMessage(datagram.data(), datagram.size())) {
-    if (const auto member = FindMember(received->sender, sender)) {
-      delegate_.OnCoordinationMessage(*member, received->role, received->message);
+  } else if (const auto decoded = coordination::DecodeMessage(datagram.data(), datagram.size())) {
+    if (const auto member = FindMember(decoded->sender, sender)) {
+      delegate_.OnCoordinationMessage(*member, decoded->role, decoded->message);
       return;
     }
   }
-  ++rejected_;
+  ++rejected_datagrams_;
 }
 
 void MembershipProtocol::OnHeartbeat(int member, const Heartbeat& heartbeat) {
   const Millis now = core::Now();
   if (!view_.OnHeartbeat(now, heartbeat)) return;
-  ++received_;
+  ++received_heartbeats_;
   if (heartbeat.zone_load) delegate_.OnZoneLoad(member, *heartbeat.zone_load);
-  // Without gossip the update can wait for this gateway's own next heartbeat.
+  // Only gossip is reported at once. Without it, the update is reported with this gateway's next heartbeat.
   if (heartbeat.started.empty() && heartbeat.recovered.empty()) return;
   Gossip gossip;
   for (const Heartbeat::EndpointStart& start : heartbeat.started) {
@@ -124,8 +125,8 @@
 }
 
 void MembershipProtocol::ScheduleHeartbeats() {
-  timer_.expires_after(core::ToDuration(config_.heartbeat_interval));
-  timer_.async_wait([this](error_code ec) {
+  heartbeat_timer_.expires_after(core::ToDuration(config_.heartbeat_interval));
+  heartbeat_timer_.async_wait([this](error_code ec) {
     if (!ec) SendHeartbeats();
   });
 }
@@ -148,16 +149,18 @@
   for (std::size_t i = 0; i < config_.peers.size(); ++i) {
     if (i != config_.self) peers.push_back(MemberStatus(i, now));
   }
-  return {
-      {"name", config_.peers[config_.self].name},
-      {"listed", snapshot.configured},
-      {"present", snapshot.present},
-      {"place", snapshot.rank},
-      {"in_touch", now < snapshot.quorum_until},
-      {"subset", config_.subset_size},
-      {"beats",
-       {{"sent", transport_.sent()}, {"heard", received_}, {"old", view_.dropped()}, {"strange", rejected_}}},
-      {"peers", std::move(peers)}};
+  return {{"name", config_.peers[config_.self].name},
+          {"listed", snapshot.configured},
+          {"present", snapshot.present},
+          {"place", snapshot.rank},
+          {"in_touch", now < snapshot.quorum_until},
+          {"subset", config_.subset_size},
+          {"beats",
+           {{"sent", transport_.sent()},
+            {"heard", received_heartbeats_},
+            {"old", view_.dropped()},
+            {"strange", rejected_datagrams_}}},
+          {"peers", std::move(peers)}};
 }
 
 }  // namespace meadowyard::membership
--- a/src/membership/membership_protocol.hpp
+++ b/src/membership/membership_protocol.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// One gateway's part in the membership protocol: it sends heartbeats to all other gateways and passes on
-/// what theirs say. Messages between lease-held roles travel over the same socket.
+/// The membership protocol of one gateway: sends heartbeats to all other gateways and reports the contents of
+/// received heartbeats to its delegate. Messages of lease-held roles use the same socket.
 #ifndef MEADOWYARD_MEMBERSHIP_MEMBERSHIP_PROTOCOL_HPP_
 #define MEADOWYARD_MEMBERSHIP_MEMBERSHIP_PROTOCOL_HPP_
 
@@ -21,32 +21,34 @@
 
 class MembershipProtocol {
  public:
-  /// What the protocol takes from its gateway and reports to it. Members are given by their index in the
-  /// peers file. Must outlive the protocol, whose constructor already calls it.
+  /// Implemented by the gateway that uses the protocol: provides what heartbeats carry, and receives the
+  /// reports. Members are identified by their index in the peers file. Must outlive the protocol. The
+  /// constructor of MembershipProtocol already calls it.
   class Delegate {
    public:
     virtual ~Delegate() = default;
-    /// What heartbeats pass on about endpoints.
+    /// The gossip about endpoints that the next heartbeat carries.
     virtual Gossip CollectGossip() = 0;
-    /// What heartbeats pass on about zones; nothing where requests are not routed by zone.
+    /// The zone load report that the next heartbeat carries; nullopt without zone routing.
     virtual std::optional<ZoneLoadReport> CollectZoneLoad() = 0;
-    /// After each heartbeat that is sent, and after each received one that carries gossip.
+    /// Called after each heartbeat that is sent, and after each received heartbeat that carries gossip.
     virtual void OnMembershipUpdate(MembershipUpdate update) = 0;
     virtual void OnZoneLoad(int member, const ZoneLoadReport& report) = 0;
     virtual void OnCoordinationMessage(int member, coordination::LeaseRole role,
                                        const coordination::CoordinationMessage& message) = 0;
-    /// After each heartbeat that is sent. `jitter` is a random number from 0 to 1.
+    /// Called after each heartbeat that is sent. `jitter` is a random number from 0 to 1.
     virtual void OnHeartbeatSent(double jitter) = 0;
   };
 
-  /// Begins at once. While the address is in use, by the predecessor in a hot restart perhaps, it is tried
-  /// again at each heartbeat.
+  /// Sends the first heartbeat at once. If the address is in use, for example by the predecessor in a hot
+  /// restart, binding is retried at each heartbeat.
   MembershipProtocol(boost::asio::io_context& io, PeersConfig config, Delegate& delegate);
 
-  /// Sends a message of a lease-held role to one member.
+  /// Sends a message of a lease-held role to one member; drops it while the socket is closed.
   void SendCoordinationMessage(int member, coordination::LeaseRole role,
                                const coordination::CoordinationMessage& message);
-  /// For operators (`GET /status/peers`): what was received, and what this gateway concludes from it.
+  /// Body of `GET /status/peers` for operators: what was received from each member, and this gateway's view
+  /// of the membership.
   [[nodiscard]] nlohmann::json Status() const;
 
  private:
@@ -62,10 +64,11 @@
   Delegate& delegate_;
   MembershipView view_;
   PeerTransport transport_;
-  boost::asio::steady_timer timer_;
+  boost::asio::steady_timer heartbeat_timer_;
   std::mt19937_64 random_;
-  std::uint64_t received_ = 0;  // heartbeats that were accepted
-  std::uint64_t rejected_ = 0;  // datagrams that can't be decoded, or not from the address of their sender
+  std::uint64_t received_heartbeats_ = 0;  // heartbeats that the view accepted
+  std::uint64_t rejected_datagrams_ = 0;   // datagrams that can't be decoded, or whose source is not the
+                                           // address of the sender in the peers file
 };
 
 }  // namespace meadowyard::membership
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -10,25 +10,26 @@
 namespace meadowyard::membership {
 namespace {
 
-// Heartbeats whose time of sending is remembered. An acknowledgement of an older one is ignored; at the usual
-// interval and timeouts it would be too old to count anyway.
+// Number of sent heartbeats whose sending time is kept. Acknowledgements of older heartbeats are ignored;
+// with the usual interval and timeouts they are older than the suspect timeout in any case.
 constexpr std::size_t kMaxRememberedHeartbeats = 64;
 
-// The rank of `self` among the members that are present, given by their indices in ascending order.
+// Returns the rank of `self` among the present members, which are given by their indices in ascending order.
 //
-// With n members present, those among the first n of the peers file have their index as rank, and the others
-// fill the gaps. So a member that becomes absent changes the rank of one other member at the most.
+// With n members present, the rank of a member among the first n of the peers file is its index, and the
+// other members get the remaining ranks in order. Therefore a member that becomes absent changes the rank of
+// at most one other member.
 int RankOf(std::size_t self, const std::vector<std::size_t>& present) {
-  const std::size_t ranks = present.size();
-  if (self < ranks) return static_cast<int>(self);
-  std::vector<bool> taken(ranks, false);
+  const std::size_t rank_count = present.size();
+  if (self < rank_count) return static_cast<int>(self);
+  std::vector<bool> rank_taken(rank_count, false);
   for (const std::size_t member : present) {
-    if (member < ranks) taken[member] = true;
+    if (member < rank_count) rank_taken[member] = true;
   }
   std::size_t rank = 0;
   for (const std::size_t member : present) {
-    if (member < ranks) continue;
-    while (taken[rank]) ++rank;
+    if (member < rank_count) continue;
+    while (rank_taken[rank]) ++rank;
     if (member == self) break;
     ++rank;
   }
@@ -45,24 +46,24 @@
     Member member;
     member.name = std::move(name);
     member.received_at = kNever;
-    // Present until the dead timeout, but not in contact.
+    // Counts as present until the dead timeout ends, but not as in contact.
     member.acknowledged_at = now - timeouts_.suspect_timeout;
     members_.push_back(std::move(member));
   }
 }
 
 MembershipView::Member* MembershipView::FindSender(const std::string& name) {
-  const auto found = std::find_if(members_.begin(), members_.end(),
-                                  [&](const Member& member) { return member.name == name; });
-  if (found == members_.end() || &*found == &members_[self_]) return nullptr;
-  return &*found;
+  const auto sender_entry = std::find_if(members_.begin(), members_.end(),
+                                         [&](const Member& member) { return member.name == name; });
+  if (sender_entry == members_.end() || &*sender_entry == &members_[self_]) return nullptr;
+  return &*sender_entry;
 }
 
 bool MembershipView::IsStale(Millis now, const Member& member, const Heartbeat& heartbeat) const {
-  if (member.configured == 0) return false;  // the first that is received
+  if (member.configured == 0) return false;  // the first heartbeat from this member
   if (heartbeat.incarnation == member.incarnation) return heartbeat.sequence <= member.sequence;
-  // Another incarnation is accepted only after the last one has stopped sending: a heartbeat that was delayed
-  // must not take the place of a newer one.
+  // Another incarnation is accepted only after the last one has stopped sending: a delayed heartbeat of an
+  // earlier incarnation must not replace a newer one.
   return now - member.received_at < timeouts_.suspect_timeout;
 }
 
@@ -78,18 +79,19 @@
   member->configured = heartbeat.configured;
   member->received_at = now;
   const bool had_quorum = now < QuorumUntil(now, ConfiguredCount());
-  TakeAcknowledgements(*member, heartbeat);
+  ApplyAcknowledgements(*member, heartbeat);
   if (!had_quorum && now < QuorumUntil(now, ConfiguredCount())) quorum_regained_at_ = now;
   return true;
 }
 
-void MembershipView::TakeAcknowledgements(Member& member, const Heartbeat& heartbeat) {
+void MembershipView::ApplyAcknowledgements(Member& member, const Heartbeat& heartbeat) {
   for (const Heartbeat::Acknowledgement& acknowledgement : heartbeat.acknowledgements) {
     if (acknowledgement.member != members_[self_].name) continue;
     if (acknowledgement.incarnation != incarnation_ || acknowledgement.sequence > sequence_) continue;
-    const std::uint64_t age = sequence_ - acknowledgement.sequence;
-    if (age >= sent_at_.size()) continue;
-    member.acknowledged_at = std::max(member.acknowledged_at, sent_at_[sent_at_.size() - 1 - age]);
+    const std::uint64_t heartbeats_since = sequence_ - acknowledgement.sequence;
+    if (heartbeats_since >= sent_at_.size()) continue;
+    member.acknowledged_at =
+        std::max(member.acknowledged_at, sent_at_[sent_at_.size() - 1 - heartbeats_since]);
   }
 }
 
@@ -111,8 +113,8 @@
   return heartbeat;
 }
 
-// A longer peers file that another member has read holds here too, for its gateways may be running. A shorter
-// one is out of date.
+// A longer peers file of another member is in force here too, because its additional gateways may be running.
+// A shorter one is out of date.
 int MembershipView::ConfiguredCount() const {
   int configured = static_cast<int>(members_.size());
   for (std::size_t i = 0; i < members_.size(); ++i) {
@@ -122,24 +124,25 @@
 }
 
 Millis MembershipView::QuorumUntil(Millis now, int configured) const {
-  const auto others_needed = static_cast<std::size_t>(configured / 2);  // this gateway makes it a majority
-  if (others_needed == 0) return now + timeouts_.suspect_timeout;       // it is the only one
-  std::vector<Millis> acknowledged;
+  const auto others_needed = static_cast<std::size_t>(configured / 2);  // a majority with this gateway
+  if (others_needed == 0) return now + timeouts_.suspect_timeout;       // it is the only gateway
+  std::vector<Millis> acknowledged_times;
   for (std::size_t i = 0; i < members_.size(); ++i) {
-    if (i != self_) acknowledged.push_back(members_[i].acknowledged_at);
+    if (i != self_) acknowledged_times.push_back(members_[i].acknowledged_at);
   }
-  if (acknowledged.size() < others_needed) return kNever;
-  const auto last = acknowledged.begin() + static_cast<std::ptrdiff_t>(others_needed - 1);
-  std::nth_element(acknowledged.begin(), last, acknowledged.end(), std::greater<>());
-  return *last + timeouts_.suspect_timeout;
+  if (acknowledged_times.size() < others_needed) return kNever;
+  const auto last_needed = acknowledged_times.begin() + static_cast<std::ptrdiff_t>(others_needed - 1);
+  std::nth_element(acknowledged_times.begin(), last_needed, acknowledged_times.end(), std::greater<>());
+  return *last_needed + timeouts_.suspect_timeout;
 }
 
 std::vector<std::size_t> MembershipView::PresentMembers(Millis now) const {
   std::vector<std::size_t> present;
   for (std::size_t i = 0; i < members_.size(); ++i) {
-    // Silence while this gateway had no quorum says nothing about the others.
-    const Millis contact = std::max(members_[i].acknowledged_at, quorum_regained_at_);
-    if (i == self_ || now - contact < timeouts_.dead_timeout) present.push_back(i);
+    // Time without a quorum doesn't count against the others: the missing acknowledgements may be due to this
+    // gateway's own links.
+    const Millis last_contact_at = std::max(members_[i].acknowledged_at, quorum_regained_at_);
+    if (i == self_ || now - last_contact_at < timeouts_.dead_timeout) present.push_back(i);
   }
   return present;
 }
@@ -148,7 +151,7 @@
   const std::vector<std::size_t> present = PresentMembers(now);
   Snapshot snapshot;
   snapshot.configured = ConfiguredCount();
-  // Gateways of a longer peers file, which this one can't name yet, count as present.
+  // The additional gateways of a longer peers file, whose names this gateway doesn't know, count as present.
   snapshot.present =
       static_cast<int>(present.size()) + snapshot.configured - static_cast<int>(members_.size());
   snapshot.rank = RankOf(self_, present);
--- a/src/membership/peer_address.hpp
+++ b/src/membership/peer_address.hpp
@@ -10,10 +10,10 @@
 
 struct PeerAddress {
   std::string name;
-  boost::asio::ip::udp::endpoint address;  ///< Datagrams to it go there, and its own come from there.
+  boost::asio::ip::udp::endpoint address;  ///< Destination of datagrams to it, and source of its own.
 };
 
-/// "10.1.0.18:7100"
+/// Formats an address as "10.1.0.18:7100".
 inline std::string ToText(const boost::asio::ip::udp::endpoint& endpoint) {
   return endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
 }
--- a/src/membership/peer_transport.cpp
+++ b/src/membership/peer_transport.cpp
@@ -30,14 +30,14 @@
     log::Write(log::Level::kWarn, "peer_socket_open_failed",
                {{"address", ToText(address_)}, {"error", ec.message()}});
   }
-  error_code ignored;
-  socket_.close(ignored);
+  error_code ignored_error;
+  socket_.close(ignored_error);
 }
 
 void PeerTransport::Receive() {
   socket_.async_receive_from(asio::buffer(buffer_), sender_, [this](error_code ec, std::size_t size) {
     if (ec == asio::error::operation_aborted) return;
-    // Any other error is the ICMP answer to a datagram that was sent from here.
+    // Any other error reports an ICMP error message for a datagram that this socket has sent.
     if (!ec) receiver_(sender_, {buffer_.data(), size});
     Receive();
   });
@@ -45,8 +45,8 @@
 
 void PeerTransport::Send(const Endpoint& to, std::span<const std::uint8_t> datagram) {
   if (!socket_.is_open()) return;
-  error_code ignored;
-  socket_.send_to(asio::buffer(datagram.data(), datagram.size()), to, 0, ignored);
+  error_code ignored_error;
+  socket_.send_to(asio::buffer(datagram.data(), datagram.size()), to, 0, ignored_error);
   ++sent_;
 }
 
--- a/src/membership/peer_transport.hpp
+++ b/src/membership/peer_transport.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Datagrams to and from the other gateways: one UDP socket, without any knowledge of what it carries.
+/// Sends and receives datagrams to and from the other gateways over one UDP socket. Independent of their
+/// contents.
 #ifndef MEADOWYARD_MEMBERSHIP_PEER_TRANSPORT_HPP_
 #define MEADOWYARD_MEMBERSHIP_PEER_TRANSPORT_HPP_
 
@@ -13,7 +14,7 @@
 
 namespace meadowyard::membership {
 
-/// Longest datagram that is received completely, in bytes; the rest of a longer one is lost.
+/// Longest datagram that is received completely, in bytes; a longer one is truncated.
 constexpr std::size_t kMaxDatagramBytes = 8192;
 
 class PeerTransport {
@@ -21,18 +22,18 @@
   using Endpoint = boost::asio::ip::udp::endpoint;
   using Receiver = std::function<void(const Endpoint& sender, std::span<const std::uint8_t> datagram)>;
 
-  /// @param address    where datagrams are received, and what they are sent from
-  /// @param receiver   called for each datagram that arrives; the bytes are valid during the call only
+  /// @param address    local address: datagrams are received at it and sent from it
+  /// @param receiver   called for each received datagram; the bytes are valid only during the call
   /// Does not open the socket; see OpenIfClosed. Must not outlive `io`.
   PeerTransport(boost::asio::io_context& io, const Endpoint& address, Receiver receiver);
 
-  /// Opens the socket unless it is open. To be called again and again: the address may be in use, by the
-  /// predecessor in a hot restart for instance. The first failure is logged.
+  /// Opens and binds the socket unless it is open. Must be called repeatedly, because the address may be in
+  /// use, for example by the predecessor in a hot restart. Only the first failure is logged.
   void OpenIfClosed();
   [[nodiscard]] bool is_open() const { return socket_.is_open(); }
-  /// Sends one datagram if the socket is open. One that can't be sent is lost, as any datagram may be.
+  /// Sends one datagram if the socket is open. Errors are ignored: datagrams may be lost in any case.
   void Send(const Endpoint& to, std::span<const std::uint8_t> datagram);
-  std::uint64_t sent() const { return sent_; }  ///< Datagrams handed to the socket.
+  std::uint64_t sent() const { return sent_; }  ///< Number of datagrams that were passed to the socket.
 
  private:
   void Receive();
--- a/src/membership/peers_config.cpp
+++ b/src/membership/peers_config.cpp
@@ -11,10 +11,12 @@
 
 using config_file::TableReader;
 
-constexpr std::size_t kMaxPeers = 128;  // heartbeats go from each to all: traffic grows with the square
-constexpr std::size_t kMaxNameLength = 64;
+// Every gateway sends heartbeats to all others, so the traffic grows with the square of the number of
+// gateways.
+constexpr std::size_t kMaxPeers = 128;
+constexpr std::size_t kMaxNameLength = 64;  // characters
 
-// The addresses of the file are read as those of TCP; datagrams have the same form.
+// TableReader reads addresses as TCP endpoints; UDP endpoints have the same form.
 boost::asio::ip::udp::endpoint ToUdp(const boost::asio::ip::tcp::endpoint& endpoint) {
   return {endpoint.address(), endpoint.port()};
 }
@@ -37,7 +39,7 @@
   if (peers.size() > kMaxPeers) file.Fail("peer", "more than 128 gateways");
 }
 
-// Index of this gateway among `peers`.
+// Reads the name of this gateway and returns its index in `peers`.
 std::size_t ReadSelf(TableReader& table, const std::vector<PeerAddress>& peers,
                      const std::optional<std::string>& name) {
   const std::string own_name = table.ReadString("name", name.value_or(peers.front().name));
@@ -50,16 +52,16 @@
   return static_cast<std::size_t>(self - peers.begin());
 }
 
-void ReadTimes(TableReader& table, PeersConfig& config) {
+void ReadTimeouts(TableReader& table, PeersConfig& config) {
   config.heartbeat_interval =
       table.ReadNumber("beat_ms", config.heartbeat_interval, {.min = 20, .max = 10000});
-  const Millis suspect_fallback = std::max(config.suspect_timeout, 3 * config.heartbeat_interval);
-  config.suspect_timeout = table.ReadNumber("silent_ms", suspect_fallback, {.min = 50, .max = 60000});
+  const Millis default_suspect_timeout = std::max(config.suspect_timeout, 3 * config.heartbeat_interval);
+  config.suspect_timeout = table.ReadNumber("silent_ms", default_suspect_timeout, {.min = 50, .max = 60000});
   if (config.suspect_timeout < 2 * config.heartbeat_interval) {
     table.Fail("silent_ms", "must be two beats at the least");
   }
-  const Millis dead_fallback = std::max(config.dead_timeout, 2 * config.suspect_timeout);
-  config.dead_timeout = table.ReadNumber("gone_ms", dead_fallback, {.min = 50, .max = 600000});
+  const Millis default_dead_timeout = std::max(config.dead_timeout, 2 * config.suspect_timeout);
+  config.dead_timeout = table.ReadNumber("gone_ms", default_dead_timeout, {.min = 50, .max = 600000});
   if (config.dead_timeout < config.suspect_timeout) table.Fail("gone_ms", "must not be below silent_ms");
 }
 
@@ -68,7 +70,7 @@
   config.listen =
       table.Has("listen") ? ToUdp(table.ReadAddress("listen")) : config.peers[config.self].address;
   config.subset_size = static_cast<int>(table.ReadCount("subset", 0, {.min = 0, .max = 1e6}));
-  ReadTimes(table, config);
+  ReadTimeouts(table, config);
   config.shares_endpoint_list = table.ReadBool("share_list", false);
   config.lease_term = table.ReadNumber("lease_ms", config.lease_term, {.min = 100, .max = 600000});
   if (config.lease_term < 4 * config.heartbeat_interval) {
--- a/src/membership/peers_config.hpp
+++ b/src/membership/peers_config.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The operators' file of the gateways in front of the same endpoints: who they are, and how many endpoints
-/// each uses. The same file serves all of them; docs/peers.md explains each key.
+/// The peers file of the operators: lists the gateways that send requests to the same endpoints, and sets how
+/// many endpoints each of them uses. All gateways read the same file; docs/peers.md describes each key.
 #ifndef MEADOWYARD_MEMBERSHIP_PEERS_CONFIG_HPP_
 #define MEADOWYARD_MEMBERSHIP_PEERS_CONFIG_HPP_
 
@@ -17,24 +17,25 @@
 namespace meadowyard::membership {
 
 struct PeersConfig {
-  std::string path;                       ///< Of the file.
-  std::vector<PeerAddress> peers;         ///< All gateways in the file's order, this one included.
-  std::size_t self = 0;                   ///< Index of this gateway among them.
-  boost::asio::ip::udp::endpoint listen;  ///< Where this gateway receives datagrams.
-  int subset_size = 0;                    ///< Endpoints that each gateway uses; 0: the default subset.
+  std::string path;                       ///< Path of the peers file.
+  std::vector<PeerAddress> peers;         ///< All gateways in file order, including this one.
+  std::size_t self = 0;                   ///< Index of this gateway in `peers`.
+  boost::asio::ip::udp::endpoint listen;  ///< Local address for datagrams.
+  int subset_size = 0;  ///< Number of endpoints that each gateway uses; 0: the default subset.
   Millis heartbeat_interval = 200;
-  Millis suspect_timeout = 1000;      ///< A peer without an acknowledgement for so long is out of contact.
-  Millis dead_timeout = 3000;         ///< For so long: it is absent.
-  bool shares_endpoint_list = false;  ///< One gateway at a time reads service discovery for all.
-  Millis lease_term = 3000;           ///< Of the lease-held roles.
+  Millis suspect_timeout = 1000;  ///< A peer is out of contact after this time without an acknowledgement.
+  Millis dead_timeout = 3000;     ///< After this time it is absent.
+  bool shares_endpoint_list = false;  ///< One gateway at a time polls service discovery for all gateways.
+  Millis lease_term = 3000;           ///< Duration of the leases of lease-held roles.
   ZoneRoutingSettings zone_routing;   ///< Enabled if the file has [zones].
-  coordination::ZoneHealthEvaluator::Times zone_health;  ///< With [zones] only.
+  coordination::ZoneHealthEvaluator::Times zone_health;  ///< Used only if the file has [zones].
 };
 
-/// Reads a peers file. `name` is this gateway's, unless the file itself says so; without one the file is
-/// checked as the first gateway's. Throws ConfigurationError naming file, line and key.
+/// Reads a peers file. `name` is the name of this gateway, unless the file sets `name` in [peers]. Without
+/// either, the file is read as the first gateway would read it. Throws ConfigurationError naming file, line
+/// and key.
 PeersConfig LoadPeers(const std::string& path, const std::optional<std::string>& name);
-/// The same for a text that was read already.
+/// The same for a text that has already been read from `path`.
 PeersConfig ParsePeers(const std::string& path, const std::string& text,
                        const std::optional<std::string>& name);
 /// Whether a TOML file is a peers file: it has [peers] or [[peer]]. False if it can't be parsed.
