--- a/tests/membership/characterization.hpp
+++ b/tests/membership/characterization.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the characterization tests of the membership package share: a generator of seeded sequences, a
-/// digest, and the file of recorded digests, tests/fixtures/membership_digests.txt.
+/// Shared by the characterization tests of the membership package: a random number generator, a digest, and
+/// access to the recorded digests in tests/fixtures/membership_digests.txt.
 #ifndef MEADOWYARD_TESTS_MEMBERSHIP_CHARACTERIZATION_HPP_
 #define MEADOWYARD_TESTS_MEMBERSHIP_CHARACTERIZATION_HPP_
 
@@ -16,7 +16,8 @@
 
 namespace meadowyard::testing {
 
-/// The generator of the sequences; the standard distributions differ between libraries.
+/// Random number generator of the test inputs. The distributions of the standard library are not used,
+/// because they differ between implementations.
 class SplitMix64 {
  public:
   explicit SplitMix64(std::uint64_t seed) : state_(seed) {}
@@ -26,7 +27,7 @@
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
     return z ^ (z >> 31);
   }
-  /// Uniform from 0 to `bound` - 1; `bound` is not 0.
+  /// Uniformly distributed from 0 to `bound` - 1; `bound` must not be 0.
   std::size_t Below(std::size_t bound) { return static_cast<std::size_t>(Next() % bound); }
   double Fraction() { return static_cast<double>(Next() >> 11) / 9007199254740992.0; }
   double Between(double low, double high) { return low + (high - low) * Fraction(); }
@@ -36,7 +37,7 @@
   std::uint64_t state_;
 };
 
-/// FNV-1a over the bytes of what is added.
+/// FNV-1a hash over the bytes of all added values.
 class Digest {
  public:
   void Add(std::uint64_t value) {
@@ -66,22 +67,22 @@
   std::uint64_t hash_ = 1469598103934665603ULL;
 };
 
-/// The digest that the file records for `name` and `seed`; "nothing recorded" without one.
+/// Returns the recorded digest of `name` and `seed`, or "nothing recorded" if there is none.
 inline std::string RecordedDigest(std::string_view name, std::uint64_t seed) {
   std::ifstream file(MEADOWYARD_FIXTURES "/membership_digests.txt");
   std::string line;
-  const std::string wanted = std::string(name) + " " + std::to_string(seed) + " ";
+  const std::string prefix = std::string(name) + " " + std::to_string(seed) + " ";
   while (std::getline(file, line)) {
-    if (line.starts_with(wanted)) return line.substr(wanted.size());
+    if (line.starts_with(prefix)) return line.substr(prefix.size());
   }
   return "nothing recorded";
 }
 
-/// Expects the recorded digest. With MEADOWYARD_WRITE_DIGESTS=FILE in the environment it is also appended to
-/// FILE; the head of membership_digests.txt says when that may become the recorded one.
+/// Expects that `digest` is the recorded one. With MEADOWYARD_WRITE_DIGESTS=FILE in the environment it is
+/// also appended to FILE; the head of membership_digests.txt says when the recorded digests may be replaced.
 inline void ExpectRecorded(std::string_view name, std::uint64_t seed, const Digest& digest) {
-  if (const char* const write_to = std::getenv("MEADOWYARD_WRITE_DIGESTS")) {
-    std::ofstream(write_to, std::ios::app) << name << ' ' << seed << ' ' << digest.ToHex() << '\n';
+  if (const char* const output_path = std::getenv("MEADOWYARD_WRITE_DIGESTS")) {
+    std::ofstream(output_path, std::ios::app) << name << ' ' << seed << ' ' << digest.ToHex() << '\n';
   }
   EXPECT_EQ(RecordedDigest(name, seed), digest.ToHex()) << name << ", seed " << seed;
 }
--- a/tests/membership/characterization_test.cpp
+++ b/tests/membership/characterization_test.cpp
@@ -1,6 +1,8 @@
-// Characterization of the membership state machine: several gateways exchange heartbeats over a simulated
-// network that delays, loses, repeats and reorders them. A digest of every heartbeat, of every answer to one
-// and of every view is compared with the one that the program of commit ff1d420 gave.
+/// @file
+/// Characterization test of the membership state machine: several gateways exchange heartbeats over a
+/// simulated network that delays, loses, duplicates and reorders them. A digest of all heartbeats, of the
+/// results of handling them and of all snapshots is compared with the one that was recorded with the program
+/// of commit ff1d420.
 #include "membership/characterization.hpp"
 
 #include <gtest/gtest.h>
@@ -21,54 +23,58 @@
 using membership::Heartbeat;
 using membership::MembershipView;
 
-// What a scenario lets happen, beside heartbeats and time passing.
+// Parameters of the network and the gateways, and the events that occur in addition to heartbeats.
 struct Scenario {
   const char* name = "";
   std::size_t gateways = 3;
-  double suspect_timeout = 1000;  // ms
-  double dead_timeout = 3000;     // ms
-  double pause = 20;              // ms between two steps, on average
-  double loss = 0.02;             // share of the heartbeats that are lost
-  double repeats = 0.02;          // share of the deliveries that happen again later
-  bool partitions = false;        // groups of gateways that can't reach each other, changing now and then
-  bool one_way = false;           // single directions that are cut
-  bool pauses = false;            // gateways that stop for a while and then read what lies waiting
-  bool restarts = false;          // gateways that start again, with another incarnation
-  bool growth = false;            // restarts with a longer or shorter list
-  bool forgeries = false;         // heartbeats with altered fields
-  bool clocks_differ = false;     // each gateway's clock has an origin of its own
+  double suspect_timeout = 1000;          // ms
+  double dead_timeout = 3000;             // ms
+  double mean_interval = 20;              // between two steps, in ms
+  double loss_probability = 0.02;         // for each heartbeat and receiver
+  double duplication_probability = 0.02;  // probability that a delivered heartbeat is delivered again later
+  bool partitions = false;          // groups of gateways that can't reach each other, changed at random times
+  bool cuts_one_direction = false;  // one link is cut in one direction
+  bool stops_gateways = false;      // gateways stop temporarily and then read all queued heartbeats
+  bool restarts = false;            // gateways restart with another incarnation
+  bool changes_list = false;        // restarts with a longer or shorter peers file
+  bool forged_heartbeats = false;   // heartbeats with altered fields are delivered
+  bool clocks_differ = false;       // the clocks of the gateways have different origins
 };
 
 std::vector<Scenario> Scenarios() {
   return {
       {.name = "three"},
       {.name = "alone", .gateways = 1},
-      {.name = "two", .gateways = 2, .loss = 0.3, .one_way = true},
-      {.name = "lossy", .gateways = 5, .pause = 12, .loss = 0.45, .repeats = 0.2},
-      {.name = "partitioned", .gateways = 5, .pause = 12, .partitions = true},
-      {.name = "one_way", .gateways = 4, .pause = 15, .one_way = true},
-      {.name = "paused", .gateways = 4, .pause = 15, .pauses = true},
-      {.name = "restarted", .gateways = 5, .pause = 12, .restarts = true},
-      {.name = "growing", .gateways = 6, .pause = 10, .restarts = true, .growth = true},
-      {.name = "forged", .gateways = 4, .forgeries = true},
-      {.name = "many", .gateways = 12, .pause = 4, .partitions = true, .restarts = true},
+      {.name = "two", .gateways = 2, .loss_probability = 0.3, .cuts_one_direction = true},
+      {.name = "lossy",
+       .gateways = 5,
+       .mean_interval = 12,
+       .loss_probability = 0.45,
+       .duplication_probability = 0.2},
+      {.name = "partitioned", .gateways = 5, .mean_interval = 12, .partitions = true},
+      {.name = "one_way", .gateways = 4, .mean_interval = 15, .cuts_one_direction = true},
+      {.name = "paused", .gateways = 4, .mean_interval = 15, .stops_gateways = true},
+      {.name = "restarted", .gateways = 5, .mean_interval = 12, .restarts = true},
+      {.name = "growing", .gateways = 6, .mean_interval = 10, .restarts = true, .changes_list = true},
+      {.name = "forged", .gateways = 4, .forged_heartbeats = true},
+      {.name = "many", .gateways = 12, .mean_interval = 4, .partitions = true, .restarts = true},
       {.name = "slow_times",
        .gateways = 5,
        .suspect_timeout = 2500,
        .dead_timeout = 2500,
-       .pause = 30,
-       .pauses = true},
+       .mean_interval = 30,
+       .stops_gateways = true},
       {.name = "everything",
        .gateways = 7,
-       .pause = 8,
-       .loss = 0.1,
-       .repeats = 0.1,
+       .mean_interval = 8,
+       .loss_probability = 0.1,
+       .duplication_probability = 0.1,
        .partitions = true,
-       .one_way = true,
-       .pauses = true,
+       .cuts_one_direction = true,
+       .stops_gateways = true,
        .restarts = true,
-       .growth = true,
-       .forgeries = true,
+       .changes_list = true,
+       .forged_heartbeats = true,
        .clocks_differ = true},
   };
 }
@@ -85,11 +91,11 @@
     }
   }
 
-  Digest Play(int steps) {
+  Digest Run(int steps) {
     for (int step = 0; step < steps; ++step) {
-      now_ += random_.Between(0, 2 * scenario_.pause);
+      now_ += random_.Between(0, 2 * scenario_.mean_interval);
       if (random_.Chance(0.002)) now_ += random_.Between(100, 5000);
-      PlayOne();
+      SimulateEvent();
       AddSnapshot(random_.Below(nodes_.size()));
     }
     for (std::size_t i = 0; i < nodes_.size(); ++i) AddMembers(i);
@@ -99,37 +105,37 @@
  private:
   struct Node {
     std::unique_ptr<MembershipView> view;
-    std::vector<Heartbeat> inbox;
+    std::vector<Heartbeat> queued_heartbeats;
     double clock_offset = 0;
     double stopped_until = 0;
     std::size_t list_length = 0;
-    int group = 0;  // gateways reach those of their own group
+    int group = 0;  // gateways reach only those of their own group
   };
 
   double Clock(std::size_t node) const { return now_ + nodes_[node].clock_offset; }
 
   void Start(std::size_t node) {
-    Node& started = nodes_[node];
+    Node& started_node = nodes_[node];
     std::vector<std::string> list(names_.begin(),
-                                  names_.begin() + static_cast<std::ptrdiff_t>(started.list_length));
+                                  names_.begin() + static_cast<std::ptrdiff_t>(started_node.list_length));
     MembershipView::Timeouts timeouts;
     timeouts.suspect_timeout = scenario_.suspect_timeout;
     timeouts.dead_timeout = scenario_.dead_timeout;
-    started.view =
+    started_node.view =
         std::make_unique<MembershipView>(std::move(list), node, timeouts, random_.Next(), Clock(node));
-    started.inbox.clear();
+    started_node.queued_heartbeats.clear();
   }
 
-  void PlayOne() {
+  void SimulateEvent() {
     const std::size_t node = random_.Below(nodes_.size());
     const std::size_t kind = random_.Below(1000);
     if (kind < 400) return SendFrom(node);
     if (kind < 960) return Deliver(node);
     if (kind < 962 && scenario_.partitions) return Repartition();
-    if (kind < 964 && scenario_.one_way) return CutOneWay();
-    if (kind < 966 && scenario_.pauses) return Stop(node);
+    if (kind < 964 && scenario_.cuts_one_direction) return CutOneDirection();
+    if (kind < 966 && scenario_.stops_gateways) return Stop(node);
     if (kind < 968 && scenario_.restarts) return Restart(node);
-    if (kind < 972 && scenario_.forgeries) return Forge(node);
+    if (kind < 972 && scenario_.forged_heartbeats) return DeliverForgedHeartbeat(node);
     Deliver(node);
   }
 
@@ -140,19 +146,19 @@
     for (std::size_t to = 0; to < nodes_.size(); ++to) {
       if (to == from || nodes_[to].group != nodes_[from].group) continue;
       if (from == cut_from_ && to == cut_to_) continue;
-      if (!random_.Chance(scenario_.loss)) nodes_[to].inbox.push_back(heartbeat);
+      if (!random_.Chance(scenario_.loss_probability)) nodes_[to].queued_heartbeats.push_back(heartbeat);
     }
   }
 
-  // Reads some of what waits for one gateway, mostly in order.
+  // Delivers some of the queued heartbeats of a gateway, usually the oldest first.
   void Deliver(std::size_t to) {
     Node& node = nodes_[to];
     if (now_ < node.stopped_until) return;
-    for (std::size_t left = node.inbox.size(); left > 0; --left) {
-      const std::size_t index = random_.Chance(0.9) ? 0 : random_.Below(node.inbox.size());
-      const Heartbeat heartbeat = node.inbox[index];
-      if (!random_.Chance(scenario_.repeats)) {
-        node.inbox.erase(node.inbox.begin() + static_cast<std::ptrdiff_t>(index));
+    for (std::size_t remaining = node.queued_heartbeats.size(); remaining > 0; --remaining) {
+      const std::size_t index = random_.Chance(0.9) ? 0 : random_.Below(node.queued_heartbeats.size());
+      const Heartbeat heartbeat = node.queued_heartbeats[index];
+      if (!random_.Chance(scenario_.duplication_probability)) {
+        node.queued_heartbeats.erase(node.queued_heartbeats.begin() + static_cast<std::ptrdiff_t>(index));
       }
       Receive(to, heartbeat);
       if (random_.Chance(0.1)) return;
@@ -169,7 +175,7 @@
     for (Node& node : nodes_) node.group = static_cast<int>(random_.Below(groups));
   }
 
-  void CutOneWay() {
+  void CutOneDirection() {
     cut_from_ = random_.Below(nodes_.size() + 1);
     cut_to_ = random_.Below(nodes_.size() + 1);
   }
@@ -177,14 +183,14 @@
   void Stop(std::size_t node) { nodes_[node].stopped_until = now_ + random_.Between(100, 6000); }
 
   void Restart(std::size_t node) {
-    if (scenario_.growth) {
+    if (scenario_.changes_list) {
       nodes_[node].list_length = scenario_.gateways + random_.Below(names_.size() - scenario_.gateways + 1);
     }
     Start(node);
   }
 
-  // A heartbeat that no view has sent: the next one of some gateway with one field altered.
-  void Forge(std::size_t to) {
+  // Delivers a heartbeat that no gateway has sent: the next one of a random gateway with one field altered.
+  void DeliverForgedHeartbeat(std::size_t to) {
     Heartbeat heartbeat = nodes_[random_.Below(nodes_.size())].view->NextHeartbeat(Clock(to));
     switch (random_.Below(6)) {
       case 0: heartbeat.sender = "stranger"; break;
@@ -193,8 +199,8 @@
       case 3: heartbeat.configured = 1 + static_cast<int>(random_.Below(10)); break;
       case 4: heartbeat.acknowledgements.clear(); break;
       default:
-        for (Heartbeat::Acknowledgement& each : heartbeat.acknowledgements)
-          each.sequence += random_.Below(100);
+        for (Heartbeat::Acknowledgement& acknowledgement : heartbeat.acknowledgements)
+          acknowledgement.sequence += random_.Below(100);
     }
     Receive(to, heartbeat);
   }
@@ -231,7 +237,7 @@
   std::size_t cut_to_ = ~std::size_t{0};
 };
 
-constexpr int kSteps = 4000;
+constexpr int kStepsPerSequence = 4000;
 constexpr std::uint64_t kSeeds[] = {1, 2, 3, 4};
 
 class MembershipCharacterization : public ::testing::TestWithParam<Scenario> {};
@@ -239,7 +245,7 @@
 TEST_P(MembershipCharacterization, KeepsEveryViewAndHeartbeat) {
   const Scenario& scenario = GetParam();
   for (const std::uint64_t seed : kSeeds) {
-    ExpectRecorded(scenario.name, seed, Simulation(scenario, seed).Play(kSteps));
+    ExpectRecorded(scenario.name, seed, Simulation(scenario, seed).Run(kStepsPerSequence));
   }
 }
 
--- a/tests/membership/fixture_test.cpp
+++ b/tests/membership/fixture_test.cpp
@@ -1,9 +1,10 @@
-// What the program of commit ff1d420 wrote and read: heartbeats as bytes and an operators' file, kept in
-// tests/fixtures/ff1d420/. Gateways of that version and of later ones run side by side, so a heartbeat keeps
-// its bytes and every file is understood as it was.
-//
-// The files are never made anew. With MEADOWYARD_WRITE_FIXTURES=DIR in the environment the tests write what
-// this program gives into DIR, for a comparison.
+/// @file
+/// Compatibility tests against heartbeats and a peers file that the program of commit ff1d420 wrote and read,
+/// in tests/fixtures/ff1d420/. Gateways of that version and later ones run at the same time, so heartbeats
+/// must keep their bytes, and every peers file must be read with the same result.
+///
+/// The fixtures are never regenerated. With MEADOWYARD_WRITE_FIXTURES=DIR in the environment the tests write
+/// the output of the current program into DIR, for comparison.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -40,7 +41,7 @@
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-void WriteIfAsked(const std::string& name, const std::string& content) {
+void WriteFixtureIfRequested(const std::string& name, const std::string& content) {
   if (const char* const folder = std::getenv("MEADOWYARD_WRITE_FIXTURES")) {
     std::ofstream(std::string(folder) + "/" + name, std::ios::binary) << content;
   }
@@ -87,52 +88,54 @@
           {"heartbeat_zones.cbor", HeartbeatWithZones()}};
 }
 
-void ExpectSameZones(const std::optional<ZoneLoadReport>& read,
-                     const std::optional<ZoneLoadReport>& written) {
-  ASSERT_EQ(read.has_value(), written.has_value());
-  if (!read) return;
-  EXPECT_EQ(read->zone, written->zone);
-  EXPECT_EQ(read->arrival_rate, written->arrival_rate);
-  ASSERT_EQ(read->zones.size(), written->zones.size());
-  for (std::size_t i = 0; i < read->zones.size(); ++i) {
-    EXPECT_EQ(read->zones[i].zone, written->zones[i].zone);
-    EXPECT_EQ(read->zones[i].capacity, written->zones[i].capacity);
-    EXPECT_EQ(read->zones[i].available, written->zones[i].available);
-    EXPECT_EQ(read->zones[i].completed, written->zones[i].completed);
-    EXPECT_EQ(read->zones[i].within_objective, written->zones[i].within_objective);
+void ExpectSameZones(const std::optional<ZoneLoadReport>& decoded,
+                     const std::optional<ZoneLoadReport>& expected) {
+  ASSERT_EQ(decoded.has_value(), expected.has_value());
+  if (!decoded) return;
+  EXPECT_EQ(decoded->zone, expected->zone);
+  EXPECT_EQ(decoded->arrival_rate, expected->arrival_rate);
+  ASSERT_EQ(decoded->zones.size(), expected->zones.size());
+  for (std::size_t i = 0; i < decoded->zones.size(); ++i) {
+    EXPECT_EQ(decoded->zones[i].zone, expected->zones[i].zone);
+    EXPECT_EQ(decoded->zones[i].capacity, expected->zones[i].capacity);
+    EXPECT_EQ(decoded->zones[i].available, expected->zones[i].available);
+    EXPECT_EQ(decoded->zones[i].completed, expected->zones[i].completed);
+    EXPECT_EQ(decoded->zones[i].within_objective, expected->zones[i].within_objective);
   }
 }
 
-void ExpectSame(const Heartbeat& read, const Heartbeat& written) {
-  EXPECT_EQ(read.sender, written.sender);
-  EXPECT_EQ(read.incarnation, written.incarnation);
-  EXPECT_EQ(read.sequence, written.sequence);
-  EXPECT_EQ(read.list_hash, written.list_hash);
-  EXPECT_EQ(read.configured, written.configured);
-  ASSERT_EQ(read.acknowledgements.size(), written.acknowledgements.size());
-  for (std::size_t i = 0; i < read.acknowledgements.size(); ++i) {
-    EXPECT_EQ(read.acknowledgements[i].member, written.acknowledgements[i].member);
-    EXPECT_EQ(read.acknowledgements[i].incarnation, written.acknowledgements[i].incarnation);
-    EXPECT_EQ(read.acknowledgements[i].sequence, written.acknowledgements[i].sequence);
+void ExpectSame(const Heartbeat& decoded, const Heartbeat& expected) {
+  EXPECT_EQ(decoded.sender, expected.sender);
+  EXPECT_EQ(decoded.incarnation, expected.incarnation);
+  EXPECT_EQ(decoded.sequence, expected.sequence);
+  EXPECT_EQ(decoded.list_hash, expected.list_hash);
+  EXPECT_EQ(decoded.configured, expected.configured);
+  ASSERT_EQ(decoded.acknowledgements.size(), expected.acknowledgements.size());
+  for (std::size_t i = 0; i < decoded.acknowledgements.size(); ++i) {
+    EXPECT_EQ(decoded.acknowledgements[i].member, expected.acknowledgements[i].member);
+    EXPECT_EQ(decoded.acknowledgements[i].incarnation, expected.acknowledgements[i].incarnation);
+    EXPECT_EQ(decoded.acknowledgements[i].sequence, expected.acknowledgements[i].sequence);
   }
-  ASSERT_EQ(read.started.size(), written.started.size());
-  for (std::size_t i = 0; i < read.started.size(); ++i) {
-    EXPECT_EQ(read.started[i].endpoint, written.started[i].endpoint);
-    EXPECT_EQ(read.started[i].age, written.started[i].age);
+  ASSERT_EQ(decoded.started.size(), expected.started.size());
+  for (std::size_t i = 0; i < decoded.started.size(); ++i) {
+    EXPECT_EQ(decoded.started[i].endpoint, expected.started[i].endpoint);
+    EXPECT_EQ(decoded.started[i].age, expected.started[i].age);
   }
-  EXPECT_EQ(read.recovered, written.recovered);
-  ExpectSameZones(read.zone_load, written.zone_load);
+  EXPECT_EQ(decoded.recovered, expected.recovered);
+  ExpectSameZones(decoded.zone_load, expected.zone_load);
 }
 
-TEST(HeartbeatFixture, IsWrittenWithTheSameBytes) {
+// Guards against a changed wire format, which gateways of the recorded version would reject.
+TEST(HeartbeatFixture, IsEncodedToTheRecordedBytes) {
   for (const HeartbeatFixture& fixture : HeartbeatFixtures()) {
     const Bytes bytes = EncodeHeartbeat(fixture.heartbeat);
-    WriteIfAsked(fixture.file, ToText(bytes));
+    WriteFixtureIfRequested(fixture.file, ToText(bytes));
     EXPECT_EQ(bytes, ToBytes(ReadFixture(fixture.file))) << fixture.file;
   }
 }
 
-TEST(HeartbeatFixture, IsReadInAllFieldsAndWrittenBack) {
+// Guards against fields of the recorded version's heartbeats being lost or misread.
+TEST(HeartbeatFixture, IsDecodedCompletelyAndEncodedAgain) {
   for (const HeartbeatFixture& fixture : HeartbeatFixtures()) {
     const Bytes bytes = ToBytes(ReadFixture(fixture.file));
     const auto heartbeat = DecodeHeartbeat(bytes);
@@ -142,8 +145,8 @@
   }
 }
 
-// Whether a datagram is accepted, and what is read from it.
-void AddParsed(Digest& digest, const Bytes& datagram) {
+// Adds to the digest whether a datagram is accepted, and the decoded heartbeat encoded again.
+void AddDecodingResult(Digest& digest, const Bytes& datagram) {
   const auto heartbeat = DecodeHeartbeat(datagram);
   digest.Add(heartbeat.has_value());
   if (heartbeat) digest.Add(EncodeHeartbeat(*heartbeat));
@@ -151,25 +154,26 @@
 
 constexpr std::uint64_t kSeeds[] = {1, 2, 3};
 
-TEST(HeartbeatParser, TreatsBrokenBytesAsRecorded) {
+// Guards against a change of which truncated, extended or randomly damaged datagrams are accepted.
+TEST(HeartbeatParser, AcceptsDamagedDatagramsOnlyAsRecorded) {
   for (const std::uint64_t seed : kSeeds) {
     SplitMix64 random(seed);
     Digest digest;
     for (int i = 0; i < 4000; ++i) {
       Bytes datagram = EncodeHeartbeat(HeartbeatFixtures()[random.Below(3)].heartbeat);
-      for (std::size_t changes = random.Below(4); changes > 0; --changes) {
+      for (std::size_t remaining_changes = random.Below(4); remaining_changes > 0; --remaining_changes) {
         datagram[random.Below(datagram.size())] = static_cast<std::uint8_t>(random.Next());
       }
       if (random.Chance(0.1)) datagram.resize(random.Below(datagram.size()));
       if (random.Chance(0.02)) datagram.push_back(0);
-      AddParsed(digest, datagram);
+      AddDecodingResult(digest, datagram);
     }
     ExpectRecorded("heartbeat_bytes", seed, digest);
   }
 }
 
-// Values that a field may be replaced with: of every kind, and beyond every limit.
-nlohmann::json AnyValue(SplitMix64& random) {
+// Returns a random replacement for a field. The values cover all types and values at and beyond every limit.
+nlohmann::json RandomFieldValue(SplitMix64& random) {
   using nlohmann::json;
   const std::vector<json> values = {nullptr,
                                     true,
@@ -208,7 +212,8 @@
   return values[random.Below(values.size())];
 }
 
-TEST(HeartbeatParser, TreatsWrongFieldsAsRecorded) {
+// Guards against a change of which missing fields, wrong types and out-of-range values are accepted.
+TEST(HeartbeatParser, AcceptsAlteredFieldsOnlyAsRecorded) {
   const std::vector<std::string> keys = {"v",        "from",  "life",    "n",         "list",
                                          "listed",   "hears", "started", "recovered", "zone",
                                          "arriving", "zones", "unknown"};
@@ -218,77 +223,80 @@
     for (int i = 0; i < 3000; ++i) {
       auto message =
           nlohmann::json::from_cbor(EncodeHeartbeat(HeartbeatFixtures()[random.Below(3)].heartbeat));
-      for (std::size_t changes = 1 + random.Below(2); changes > 0; --changes) {
+      for (std::size_t remaining_changes = 1 + random.Below(2); remaining_changes > 0; --remaining_changes) {
         const std::string& key = keys[random.Below(keys.size())];
         if (random.Chance(0.2)) {
           message.erase(key);
         } else {
-          message[key] = AnyValue(random);
+          message[key] = RandomFieldValue(random);
         }
       }
-      AddParsed(digest, nlohmann::json::to_cbor(message));
+      AddDecodingResult(digest, nlohmann::json::to_cbor(message));
     }
     ExpectRecorded("heartbeat_fields", seed, digest);
   }
 }
 
-// All that is read from an operators' file, a line each.
-std::string Dump(const PeersConfig& config) {
-  std::ostringstream out;
-  out.precision(17);
-  out << "path " << config.path << "\nself " << config.self << "\nlisten " << config.listen << "\n";
-  for (const PeerAddress& peer : config.peers) out << "peer " << peer.name << " " << peer.address << "\n";
-  out << "subset " << config.subset_size << "\nbeat " << config.heartbeat_interval << "\nsilent "
-      << config.suspect_timeout << "\ngone " << config.dead_timeout << "\nshare_list "
-      << config.shares_endpoint_list << "\nlease " << config.lease_term << "\n";
+// Returns all settings that are read from a peers file, as text lines.
+std::string FormatConfig(const PeersConfig& config) {
+  std::ostringstream output;
+  output.precision(17);
+  output << "path " << config.path << "\nself " << config.self << "\nlisten " << config.listen << "\n";
+  for (const PeerAddress& peer : config.peers) output << "peer " << peer.name << " " << peer.address << "\n";
+  output << "subset " << config.subset_size << "\nbeat " << config.heartbeat_interval << "\nsilent "
+         << config.suspect_timeout << "\ngone " << config.dead_timeout << "\nshare_list "
+         << config.shares_endpoint_list << "\nlease " << config.lease_term << "\n";
   const ZoneRoutingSettings& routing = config.zone_routing;
-  out << "locality " << routing.enabled << " " << routing.overprovisioning << " " << routing.panic_threshold
-      << " " << routing.max_overflow << "\n";
-  for (const auto& [zone, region] : routing.regions) out << "region " << zone << " " << region << "\n";
+  output << "locality " << routing.enabled << " " << routing.overprovisioning << " "
+         << routing.panic_threshold << " " << routing.max_overflow << "\n";
+  for (const auto& [zone, region] : routing.regions) output << "region " << zone << " " << region << "\n";
   const coordination::ZoneHealthEvaluator::Times& health = config.zone_health;
-  out << "zones " << health.fresh << " " << health.falls << " " << health.rises << " " << health.settles
-      << " " << health.spare << " " << health.hold << " " << health.most_hold << "\n";
-  return out.str();
+  output << "zones " << health.fresh << " " << health.falls << " " << health.rises << " " << health.settles
+         << " " << health.spare << " " << health.hold << " " << health.most_hold << "\n";
+  return output.str();
 }
 
-TEST(PeersFileFixture, IsReadWithAllKeysAsItWas) {
-  const std::string dump = Dump(ParsePeers("peers.toml", ReadFixture("peers.toml"), std::nullopt));
-  WriteIfAsked("peers.txt", dump);
-  EXPECT_EQ(dump, ReadFixture("peers.txt"));
+// Guards against a key of the operators' existing files being ignored or read differently.
+TEST(PeersFileFixture, AllKeysAreReadAsRecorded) {
+  const std::string formatted =
+      FormatConfig(ParsePeers("peers.toml", ReadFixture("peers.toml"), std::nullopt));
+  WriteFixtureIfRequested("peers.txt", formatted);
+  EXPECT_EQ(formatted, ReadFixture("peers.txt"));
 }
 
-TEST(PeersFileFixture, HasTheSameDefaults) {
+// Guards against a changed default, which would change the behaviour of gateways with an existing file.
+TEST(PeersFileFixture, DefaultsAreAsRecorded) {
   const std::string text = "[peers]\n[zones]\n[[peer]]\nname = 'g0'\naddress = '127.0.0.1:7100'\n";
-  const std::string dump = Dump(ParsePeers("defaults.toml", text, "g0"));
-  WriteIfAsked("peers_defaults.txt", dump);
-  EXPECT_EQ(dump, ReadFixture("peers_defaults.txt"));
+  const std::string formatted = FormatConfig(ParsePeers("defaults.toml", text, "g0"));
+  WriteFixtureIfRequested("peers_defaults.txt", formatted);
+  EXPECT_EQ(formatted, ReadFixture("peers_defaults.txt"));
 }
 
-std::vector<std::string> Lines(const std::string& text) {
+std::vector<std::string> SplitLines(const std::string& text) {
   std::vector<std::string> lines;
   std::istringstream stream(text);
   for (std::string line; std::getline(stream, line);) lines.push_back(line);
   return lines;
 }
 
-// A few lines of the file removed, repeated or given another value.
+// Returns the file with one or two lines removed, duplicated, renamed or set to another value.
 std::string Mutate(std::vector<std::string> lines, SplitMix64& random) {
   const std::vector<std::string> values = {
       "0",    "-1",      "1",  "20.5", "150", "999999999", "\"\"", "\"g0\"", "\"127.0.0.1:7100\"",
       "true", "[\"a\"]", "[]", "[1]",  "{}",  "nan"};
-  for (std::size_t changes = 1 + random.Below(2); changes > 0; --changes) {
+  for (std::size_t remaining_changes = 1 + random.Below(2); remaining_changes > 0; --remaining_changes) {
     const std::size_t index = random.Below(lines.size());
-    const auto at = lines.begin() + static_cast<std::ptrdiff_t>(index);
-    const std::size_t equals = lines[index].find(" = ");
-    const std::size_t kind = random.Below(10);
-    if (kind < 3) {
-      lines.erase(at);
-    } else if (kind < 4) {
-      lines.insert(at, std::string(lines[index]));
-    } else if (kind < 5) {
+    const auto position = lines.begin() + static_cast<std::ptrdiff_t>(index);
+    const std::size_t assignment = lines[index].find(" = ");
+    const std::size_t mutation = random.Below(10);
+    if (mutation < 3) {
+      lines.erase(position);
+    } else if (mutation < 4) {
+      lines.insert(position, std::string(lines[index]));
+    } else if (mutation < 5) {
       lines[index] = "x" + lines[index];
-    } else if (equals != std::string::npos) {
-      lines[index] = lines[index].substr(0, equals + 3) + values[random.Below(values.size())];
+    } else if (assignment != std::string::npos) {
+      lines[index] = lines[index].substr(0, assignment + 3) + values[random.Below(values.size())];
     }
   }
   std::string text;
@@ -296,19 +304,21 @@
   return text;
 }
 
-// What reading gives: all settings, or the error. The wording of a syntax error is the TOML library's own.
+// Returns all settings or the error message. The message of a syntax error is cut off, because its wording
+// comes from the TOML library.
 std::string SettingsOrError(const std::string& text) {
   try {
-    return Dump(ParsePeers("f", text, "g1"));
+    return FormatConfig(ParsePeers("f", text, "g1"));
   } catch (const ConfigurationError& error) {
     const std::string message = error.what();
-    const bool syntax = message.find("Error while parsing") != std::string::npos;
-    return syntax ? message.substr(0, message.find(": ")) : message;
+    const bool is_syntax_error = message.find("Error while parsing") != std::string::npos;
+    return is_syntax_error ? message.substr(0, message.find(": ")) : message;
   }
 }
 
-TEST(PeersFileFixture, GivesTheSameSettingsOrErrorForChangedFiles) {
-  const std::vector<std::string> lines = Lines(ReadFixture("peers.toml"));
+// Guards against a change of the settings or the error messages for files with mistakes.
+TEST(PeersFileFixture, MutatedFilesGiveTheRecordedSettingsOrError) {
+  const std::vector<std::string> lines = SplitLines(ReadFixture("peers.toml"));
   for (const std::uint64_t seed : kSeeds) {
     SplitMix64 random(seed + 200);
     Digest digest;
@@ -317,10 +327,10 @@
   }
 }
 
-// Bounds that depend on another key: the least value that is accepted, and one just below it.
-TEST(PeersFileFixture, KeepsTheBoundsBetweenKeys) {
+// Checks bounds that depend on another key with the lowest accepted value and a value just below it.
+TEST(PeersFileFixture, BoundsThatDependOnOtherKeysAreEnforced) {
   struct Case {
-    std::string least, below, error;
+    std::string accepted, rejected, error;
   };
   const std::vector<Case> cases = {
       {"beat_ms = 100\nsilent_ms = 200", "beat_ms = 100\nsilent_ms = 199.9",
@@ -331,9 +341,10 @@
        "f:3: peers.lease_ms: must be four beats at the least"},
   };
   const std::string peer = "\n[[peer]]\nname = 'g1'\naddress = '127.0.0.1:7100'\n";
-  for (const Case& each : cases) {
-    EXPECT_TRUE(SettingsOrError("[peers]\n" + each.least + peer).starts_with("path f")) << each.least;
-    EXPECT_EQ(SettingsOrError("[peers]\n" + each.below + peer), each.error);
+  for (const Case& test_case : cases) {
+    EXPECT_TRUE(SettingsOrError("[peers]\n" + test_case.accepted + peer).starts_with("path f"))
+        << test_case.accepted;
+    EXPECT_EQ(SettingsOrError("[peers]\n" + test_case.rejected + peer), test_case.error);
   }
 }
 
--- a/tests/membership/heartbeat_codec_test.cpp
+++ b/tests/membership/heartbeat_codec_test.cpp
@@ -1,4 +1,5 @@
-// Heartbeats as datagrams.
+/// @file
+/// Tests of the encoding and decoding of heartbeats.
 #include "membership/heartbeat_codec.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +14,8 @@
 using membership::EncodeHeartbeat;
 using membership::Heartbeat;
 
-TEST(HeartbeatCodec, ReadsWhatItWroteAndNothingByHalves) {
+// Guards against lost fields, and against accepting damaged or malicious datagrams with fields out of range.
+TEST(HeartbeatCodec, DecodesItsOwnEncodingAndNoDamagedDatagramPartially) {
   Heartbeat heartbeat;
   heartbeat.sender = "g1";
   heartbeat.incarnation = ~0ULL;
@@ -27,17 +29,18 @@
   const auto decoded = DecodeHeartbeat(datagram);
   ASSERT_TRUE(decoded);
   EXPECT_EQ(EncodeHeartbeat(*decoded), datagram);
-  // A damaged datagram gives a heartbeat that can be used in every field, or none.
+  // Decoding a damaged datagram must give a heartbeat with all fields in range, or nothing.
   std::mt19937 random(1);
   for (int i = 0; i < 20000; ++i) {
     auto damaged = datagram;
-    for (auto changes = random() % 4; changes > 0; --changes) {
+    for (auto remaining_changes = random() % 4; remaining_changes > 0; --remaining_changes) {
       damaged[random() % damaged.size()] = static_cast<std::uint8_t>(random());
     }
     if (random() % 3 == 0) damaged.resize(random() % damaged.size());
-    const auto read = DecodeHeartbeat(damaged);
-    if (!read) continue;
-    EXPECT_TRUE(!read->sender.empty() && read->configured >= 1 && read->acknowledgements.size() <= 256);
+    const auto decoded_damaged = DecodeHeartbeat(damaged);
+    if (!decoded_damaged) continue;
+    EXPECT_TRUE(!decoded_damaged->sender.empty() && decoded_damaged->configured >= 1 &&
+                decoded_damaged->acknowledgements.size() <= 256);
   }
 }
 
--- a/tests/membership/membership_protocol_test.cpp
+++ b/tests/membership/membership_protocol_test.cpp
@@ -1,4 +1,5 @@
-// Gateways that exchange heartbeats and coordination messages over UDP on loopback.
+/// @file
+/// Tests of gateways that exchange heartbeats and coordination messages over UDP on the loopback interface.
 #include "membership/membership_protocol.hpp"
 
 #include <gtest/gtest.h>
@@ -30,7 +31,7 @@
 
 Udp::endpoint Loopback(std::uint16_t port) { return {boost::asio::ip::address_v4::loopback(), port}; }
 
-// Records what its protocol reports.
+// Records the reports of its protocol.
 class RecordingDelegate : public MembershipProtocol::Delegate {
  public:
   Gossip CollectGossip() override { return gossip; }
@@ -66,7 +67,7 @@
   static constexpr std::size_t kGateways = 3;
 
   MembershipProtocolTest() {
-    std::vector<Udp::socket> sockets;  // all open at once, so that the ports differ
+    std::vector<Udp::socket> sockets;  // open at the same time, so that the ports differ
     for (std::size_t i = 0; i < kGateways; ++i) {
       sockets.emplace_back(io_, Loopback(0));
       peers_.push_back({.name = "g" + std::to_string(i), .address = sockets.back().local_endpoint()});
@@ -83,11 +84,11 @@
     protocols_[gateway] = std::make_unique<MembershipProtocol>(io_, config, delegates_[gateway]);
   }
 
-  // Runs the event loop until `done`; false after ten seconds.
-  template <typename Done>
-  bool RunUntil(Done done) {
+  // Runs the event loop until `is_done` returns true. Returns false after 10 seconds.
+  template <typename Predicate>
+  bool RunUntil(Predicate is_done) {
     const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(10);
-    while (!done()) {
+    while (!is_done()) {
       if (std::chrono::steady_clock::now() > deadline) return false;
       io_.run_one_for(std::chrono::milliseconds(20));
     }
@@ -102,7 +103,8 @@
   std::vector<std::unique_ptr<MembershipProtocol>> protocols_;  // destroyed before their delegates
 };
 
-TEST_F(MembershipProtocolTest, GatewaysFindEachOtherAndPassOnWhatTheyKnow) {
+// Guards against gossip, zone load or membership that is lost between the protocol and the delegate.
+TEST_F(MembershipProtocolTest, GatewaysGainQuorumAndExchangeGossipAndZoneLoad) {
   delegates_[0].gossip.recovered = {"h-1"};
   delegates_[0].gossip.started = {{.endpoint = "h-2", .started_at = core::Now() - 500}};
   delegates_[0].zone_load =
@@ -127,7 +129,8 @@
   EXPECT_EQ(delegates_[1].received_zone_load.arrival_rate, 7);
 }
 
-TEST_F(MembershipProtocolTest, ACoordinationMessageReachesItsMemberAlone) {
+// Guards against messages of lease-held roles being delivered to the wrong member.
+TEST_F(MembershipProtocolTest, CoordinationMessageIsDeliveredOnlyToItsMember) {
   for (std::size_t i = 0; i < kGateways; ++i) Start(i);
   protocols_[0]->SendCoordinationMessage(2, coordination::LeaseRole::kZoneState,
                                          coordination::ZoneStateVote{.token = 1, .version = 2});
@@ -136,21 +139,24 @@
   EXPECT_FALSE(delegates_[1].message_sender.has_value());
 }
 
-TEST_F(MembershipProtocolTest, DatagramsFromOtherAddressesAreCountedAndIgnored) {
+// Guards against forged heartbeats: a sender that is not at the address in the peers file must not be
+// accepted.
+TEST_F(MembershipProtocolTest, DatagramsFromUnknownAddressesAreCountedAndIgnored) {
   Start(0);
   Heartbeat heartbeat;
   heartbeat.sender = "g1";
   heartbeat.configured = 3;
-  Udp::socket forger(io_, Loopback(0));  // not the address of g1
-  forger.send_to(boost::asio::buffer(EncodeHeartbeat(heartbeat)), peers_[0].address);
-  forger.send_to(boost::asio::buffer(std::string("no message")), peers_[0].address);
+  Udp::socket unknown_sender(io_, Loopback(0));  // not the address of g1
+  unknown_sender.send_to(boost::asio::buffer(EncodeHeartbeat(heartbeat)), peers_[0].address);
+  unknown_sender.send_to(boost::asio::buffer(std::string("no message")), peers_[0].address);
   ASSERT_TRUE(RunUntil([&] { return Heartbeats(0)["strange"] == 2; }));
   EXPECT_EQ(Heartbeats(0)["heard"], 0);
   EXPECT_FALSE(delegates_[0].HasQuorum());
 }
 
-// As in a hot restart, where the predecessor still has the address.
-TEST_F(MembershipProtocolTest, AnAddressInUseIsTriedAgainUntilItIsFree) {
+// Guards against a gateway that stays without membership after a hot restart, because the predecessor still
+// had the address bound when it started.
+TEST_F(MembershipProtocolTest, BindingAnAddressInUseIsRetriedUntilItIsFree) {
   std::optional<Udp::socket> predecessor(std::in_place, io_, peers_[0].address);
   Start(0);
   Start(1);
@@ -160,7 +166,8 @@
   EXPECT_TRUE(RunUntil([&] { return delegates_[0].HasQuorum() && delegates_[1].HasQuorum(); }));
 }
 
-TEST_F(MembershipProtocolTest, StatusHasTheFieldsThatOperatorsRead) {
+// Guards against renamed or missing fields in the reply that operators' tools parse.
+TEST_F(MembershipProtocolTest, StatusHasTheFieldsThatOperatorsUse) {
   Start(0);
   Start(1);
   ASSERT_TRUE(RunUntil([&] { return delegates_[0].HasQuorum(); }));
@@ -176,7 +183,7 @@
   EXPECT_EQ(status["peers"][0]["same_list"], true);
   EXPECT_GE(status["peers"][0]["heard_ms_ago"], 0);
   EXPECT_EQ(status["peers"][1]["name"], "g2");
-  EXPECT_FALSE(status["peers"][1].contains("heard_ms_ago")) << "nothing was received from it";
+  EXPECT_FALSE(status["peers"][1].contains("heard_ms_ago")) << "no heartbeat was received from g2";
 }
 
 }  // namespace
--- a/tests/membership/membership_view_test.cpp
+++ b/tests/membership/membership_view_test.cpp
@@ -1,4 +1,5 @@
-// Which gateways are present, as each of several sees it, while links fail and processes stop and restart.
+/// @file
+/// Tests of the membership views of several gateways while links fail and processes stop and restart.
 #include "membership/membership_view.hpp"
 
 #include <gtest/gtest.h>
@@ -17,144 +18,168 @@
 
 using membership::Heartbeat;
 
-// Gateways that reach each other only on the same side.
+// Returns a link function with which gateways reach each other only if `side` gives the same value for both.
 SimulatedNetwork::Link SplitBy(std::function<bool(std::size_t gateway)> side) {
   return [side = std::move(side)](std::size_t sender, std::size_t receiver) {
     return side(sender) == side(receiver);
   };
 }
 
-TEST(MembershipView, MajorityKeepsItsQuorumAndTheRestDoNot) {
+// Guards against two sides of a partition that both have a quorum, and against a majority that loses it.
+TEST(MembershipView, OnlyTheMajorityKeepsItsQuorum) {
   struct Case {
     std::string name;
     std::size_t gateways;
     SimulatedNetwork::Link link;
     std::set<std::size_t> with_quorum;
-    std::vector<int> present;  // as each gateway with a quorum sees it, in their order
+    std::vector<int> present;  // number of present gateways as seen by each gateway with a quorum
   };
   const std::vector<Case> cases = {
       {"all connected", 3, [](std::size_t, std::size_t) { return true; }, {0, 1, 2}, {3, 3, 3}},
       {"one of three cut off", 3, SplitBy([](std::size_t i) { return i == 0; }), {1, 2}, {2, 2}},
-      {"two apart: each might be the only one", 2, SplitBy([](std::size_t i) { return i == 0; }), {}, {}},
+      {"two gateways disconnected: neither has a majority",
+       2,
+       SplitBy([](std::size_t i) { return i == 0; }),
+       {},
+       {}},
       {"two halves: no majority", 4, SplitBy([](std::size_t i) { return i < 2; }), {}, {}},
       {"two of five cut off", 5, SplitBy([](std::size_t i) { return i < 2; }), {2, 3, 4}, {3, 3, 3}},
-      {"the first is not received", 3, [](std::size_t a, std::size_t) { return a != 0; }, {1, 2}, {2, 2}},
-      {"the first receives nothing", 3, [](std::size_t, std::size_t b) { return b != 0; }, {1, 2}, {2, 2}},
-      {"one link is down", 3, [](std::size_t a, std::size_t b) { return a + b != 1; }, {0, 1, 2}, {2, 2, 3}},
+      {"heartbeats of the first gateway are lost",
+       3,
+       [](std::size_t from, std::size_t) { return from != 0; },
+       {1, 2},
+       {2, 2}},
+      {"heartbeats to the first gateway are lost",
+       3,
+       [](std::size_t, std::size_t to) { return to != 0; },
+       {1, 2},
+       {2, 2}},
+      {"one link is down",
+       3,
+       [](std::size_t from, std::size_t to) { return from + to != 1; },
+       {0, 1, 2},
+       {2, 2, 3}},
       {"a single gateway", 1, [](std::size_t, std::size_t) { return true; }, {0}, {1}},
   };
-  for (const Case& each : cases) {
-    SCOPED_TRACE(each.name);
-    SimulatedNetwork network(each.gateways);
+  for (const Case& test_case : cases) {
+    SCOPED_TRACE(test_case.name);
+    SimulatedNetwork network(test_case.gateways);
     network.Run(2000);
-    for (std::size_t i = 0; i < each.gateways; ++i) EXPECT_TRUE(network.HasQuorum(i)) << "gateway " << i;
-    network.SetLink(each.link);
+    for (std::size_t i = 0; i < test_case.gateways; ++i) EXPECT_TRUE(network.HasQuorum(i)) << "gateway " << i;
+    network.SetLink(test_case.link);
     network.Run(5000);
     std::vector<int> present;
-    for (std::size_t i = 0; i < each.gateways; ++i) {
-      EXPECT_EQ(network.HasQuorum(i), each.with_quorum.contains(i)) << "gateway " << i;
-      if (each.with_quorum.contains(i)) present.push_back(network.At(i).present);
+    for (std::size_t i = 0; i < test_case.gateways; ++i) {
+      EXPECT_EQ(network.HasQuorum(i), test_case.with_quorum.contains(i)) << "gateway " << i;
+      if (test_case.with_quorum.contains(i)) present.push_back(network.SnapshotOf(i).present);
     }
-    EXPECT_EQ(present, each.present);
+    EXPECT_EQ(present, test_case.present);
     network.ConnectAll();
     network.Run(1000);
-    for (std::size_t i = 0; i < each.gateways; ++i) {
+    for (std::size_t i = 0; i < test_case.gateways; ++i) {
       EXPECT_TRUE(network.HasQuorum(i)) << "gateway " << i;
-      EXPECT_EQ(network.At(i).present, static_cast<int>(each.gateways)) << "gateway " << i;
-      EXPECT_EQ(network.At(i).rank, static_cast<int>(i)) << "gateway " << i;
+      EXPECT_EQ(network.SnapshotOf(i).present, static_cast<int>(test_case.gateways)) << "gateway " << i;
+      EXPECT_EQ(network.SnapshotOf(i).rank, static_cast<int>(i)) << "gateway " << i;
     }
   }
 }
 
-// Heartbeats that lay unread while a process was stopped are out of date when it resumes.
-TEST(MembershipView, OldHeartbeatsGiveAResumedProcessNoQuorum) {
+// Heartbeats that were queued while a process was suspended are out of date when it resumes. Guards against a
+// resumed process that takes them for contact with the other gateways.
+TEST(MembershipView, QueuedHeartbeatsGiveNoQuorumToAResumedProcess) {
   SimulatedNetwork network(3);
   network.Run(2000);
   network.SetRunning([](std::size_t gateway) { return gateway != 2; });
   network.Run(4000);
-  network.DeliverWaiting(2);
+  network.DeliverQueuedHeartbeats(2);
   EXPECT_FALSE(network.HasQuorum(2));
-  EXPECT_EQ(network.At(0).present, 2);
-  network.RunAll();
+  EXPECT_EQ(network.SnapshotOf(0).present, 2);
+  network.ResumeAll();
   network.Run(500);
   EXPECT_TRUE(network.HasQuorum(2));
-  EXPECT_EQ(network.At(0).present, 3);
+  EXPECT_EQ(network.SnapshotOf(0).present, 3);
 }
 
-// A gateway that was cut off does not know who stopped meanwhile: those that it has not received from yet may
-// be present.
-TEST(MembershipView, AGatewayThatRegainsItsQuorumTakesNoneForAbsentAtOnce) {
+// A gateway that was disconnected can't tell which gateways stopped in the meantime: those that it has not
+// received from yet may be present. Guards against treating them as absent at once.
+TEST(MembershipView, GatewayThatRegainsItsQuorumTreatsNoneAsAbsentAtOnce) {
   SimulatedNetwork network(4);
   network.Run(2000);
   network.SetLink(SplitBy([](std::size_t gateway) { return gateway == 0; }));
   network.Run(5000);
   EXPECT_FALSE(network.HasQuorum(0));
-  network.SetLink([](std::size_t a, std::size_t b) { return a + b != 3 || (a != 0 && b != 0); });
+  network.SetLink([](std::size_t from, std::size_t to) { return from + to != 3 || (from != 0 && to != 0); });
   network.Run(300);
   EXPECT_TRUE(network.HasQuorum(0));
-  EXPECT_EQ(network.At(0).present, 4) << "the last one's heartbeat may still be on its way";
+  EXPECT_EQ(network.SnapshotOf(0).present, 4) << "heartbeats of gateway 3 may still be on their way";
   network.Run(5000);
-  EXPECT_EQ(network.At(0).present, 3) << "but it is absent in the end";
+  EXPECT_EQ(network.SnapshotOf(0).present, 3) << "gateway 3 is absent at the end";
 }
 
-TEST(MembershipView, AnAbsentGatewayChangesTheRankOfOneOtherAtTheMost) {
+// A changed rank changes the subset of endpoints. Guards against an absent gateway that changes many subsets.
+TEST(MembershipView, AbsentGatewayChangesAtMostOneOtherRank) {
   constexpr std::size_t kGateways = 6;
   for (std::size_t absent = 0; absent < kGateways; ++absent) {
     SimulatedNetwork network(kGateways);
     network.SetRunning([&](std::size_t gateway) { return gateway != absent; });
     network.Run(5000);
     std::set<int> ranks;
-    int changed = 0;
+    int changed_rank_count = 0;
     for (std::size_t i = 0; i < kGateways; ++i) {
       if (i == absent) continue;
-      ranks.insert(network.At(i).rank);
-      if (network.At(i).rank != static_cast<int>(i)) ++changed;
+      ranks.insert(network.SnapshotOf(i).rank);
+      if (network.SnapshotOf(i).rank != static_cast<int>(i)) ++changed_rank_count;
     }
     EXPECT_EQ(ranks, (std::set<int>{0, 1, 2, 3, 4})) << absent;
-    EXPECT_EQ(changed, absent == kGateways - 1 ? 0 : 1) << absent;
+    EXPECT_EQ(changed_rank_count, absent == kGateways - 1 ? 0 : 1) << absent;
   }
 }
 
-TEST(MembershipView, DropsHeartbeatsOfUnknownSendersAndOldOnes) {
+// Guards against stale, duplicated or forged heartbeats that replace newer ones, and against a restarted
+// process that is never accepted again.
+TEST(MembershipView, DropsHeartbeatsOfUnknownSendersAndStaleOnes) {
   SimulatedNetwork network(3);
   network.Run(1000);
-  Heartbeat old = network.view(1).NextHeartbeat(network.now());
+  Heartbeat stale_heartbeat = network.view(1).NextHeartbeat(network.now());
   EXPECT_TRUE(network.view(0).OnHeartbeat(network.now(), network.view(1).NextHeartbeat(network.now())));
-  EXPECT_FALSE(network.view(0).OnHeartbeat(network.now(), old)) << "a sequence number that is behind";
-  old.incarnation = 7;
-  old.sequence = 1000;
-  EXPECT_FALSE(network.view(0).OnHeartbeat(network.now(), old)) << "while another incarnation still sends";
-  old.sender = "g9";
-  EXPECT_FALSE(network.view(0).OnHeartbeat(network.now(), old)) << "not in the peers file";
-  old.sender = "g0";
-  EXPECT_FALSE(network.view(0).OnHeartbeat(network.now(), old)) << "its own name";
+  EXPECT_FALSE(network.view(0).OnHeartbeat(network.now(), stale_heartbeat)) << "an older sequence number";
+  stale_heartbeat.incarnation = 7;
+  stale_heartbeat.sequence = 1000;
+  EXPECT_FALSE(network.view(0).OnHeartbeat(network.now(), stale_heartbeat))
+      << "another incarnation while the last one still sends";
+  stale_heartbeat.sender = "g9";
+  EXPECT_FALSE(network.view(0).OnHeartbeat(network.now(), stale_heartbeat))
+      << "a sender that is not in the peers file";
+  stale_heartbeat.sender = "g0";
+  EXPECT_FALSE(network.view(0).OnHeartbeat(network.now(), stale_heartbeat))
+      << "a heartbeat in the receiver's own name";
   network.SetRunning([](std::size_t gateway) { return gateway != 1; });
   network.Run(1500);
-  network.Start(1, network.names());  // as after a kill
-  network.RunAll();
+  network.Start(1, network.names());  // a new incarnation, as after a crash
+  network.ResumeAll();
   network.Run(1000);
   EXPECT_TRUE(network.HasQuorum(1));
-  EXPECT_EQ(network.At(0).present, 3);
+  EXPECT_EQ(network.SnapshotOf(0).present, 3);
 }
 
-// The peers file grows by one gateway: those that still have the old one count it as soon as another names
-// it.
-TEST(MembershipView, TheLongestPeersFileHoldsForAll) {
+// One gateway is added to the peers file: gateways with the old file must count it as soon as another gateway
+// reports the longer file.
+TEST(MembershipView, LongestPeersFileIsInForceForAllGateways) {
   SimulatedNetwork network(3);
   network.Run(1000);
-  std::vector<std::string> longer = network.names();
-  longer.emplace_back("g3");
-  network.Start(0, longer);
-  network.Start(1, longer);
+  std::vector<std::string> longer_list = network.names();
+  longer_list.emplace_back("g3");
+  network.Start(0, longer_list);
+  network.Start(1, longer_list);
   network.Run(3000);
-  EXPECT_EQ(network.At(2).configured, 4) << "it has the old file";
-  EXPECT_EQ(network.At(2).present, 4);
-  EXPECT_EQ(network.At(0).configured, 4);
+  EXPECT_EQ(network.SnapshotOf(2).configured, 4) << "gateway 2 still has the old file";
+  EXPECT_EQ(network.SnapshotOf(2).present, 4);
+  EXPECT_EQ(network.SnapshotOf(0).configured, 4);
   EXPECT_TRUE(network.HasQuorum(0));
-  network.Start(3, longer);
-  network.Start(2, longer);
+  network.Start(3, longer_list);
+  network.Start(2, longer_list);
   network.Run(3000);
-  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(network.At(i).present, 4) << i;
+  for (std::size_t i = 0; i < 4; ++i) EXPECT_EQ(network.SnapshotOf(i).present, 4) << i;
 }
 
 }  // namespace
