--- a/tests/decision/characterization_test.cpp
+++ b/tests/decision/characterization_test.cpp
@@ -195,8 +195,8 @@
   bool maintenance = false;
   bool changes_settings = false;
   bool restores_state = false;        // a new Policy takes over the learned state of the old one
-  double failure_probability = 0.05;  // probability that an attempt at a healthy endpoint fails
-  double mean_interval = 4;           // mean time between events, in ms
+  double failure_probability = 0.05;  // of an attempt at a healthy endpoint
+  double mean_interval = 4;           // between events, in ms
 };
 
 void PrintTo(const Scenario& scenario, std::ostream* stream) { *stream << scenario.name; }
