--- a/src/decision/zone_router.cpp
+++ b/src/decision/zone_router.cpp
@@ -9,8 +9,8 @@
 namespace meadowyard::decision {
 namespace {
 
-constexpr Millis kAttemptDecayTimeConstant =
-    1000;  // ms; attempt counts decay to 1/e of their value in this time
+// Attempt counts decay to 1/e of their value in this time.
+constexpr Millis kAttemptDecayTimeConstant = 1000;
 constexpr double kMillisPerSecond = 1000;
 
 double DecayFactor(Millis updated_at, Millis now) {
