--- a/src/decision/rate_controller.cpp
+++ b/src/decision/rate_controller.cpp
@@ -36,7 +36,7 @@
 }  // namespace
 
 Millis RateController::DispatchRateTimeConstant() const {
-  return kDispatchRateTimeConstant * (subset_.IsShared() ? kSharedTimeConstantFactor : 1);
+  return kDispatchRateTimeConstant * (subset_.IsHeavilyShared() ? kSharedTimeConstantFactor : 1);
 }
 
 void RateController::Advance(Millis now, Millis passed) {
@@ -59,8 +59,8 @@
 
 void RateController::OnDispatch() {
   bucket_.Take();
-  dispatch_rate_ +=
-      kMillisPerSecond / kDispatchRateTimeConstant / (subset_.IsShared() ? kSharedTimeConstantFactor : 1);
+  dispatch_rate_ += kMillisPerSecond / kDispatchRateTimeConstant /
+                    (subset_.IsHeavilyShared() ? kSharedTimeConstantFactor : 1);
 }
 
 // The smoothed dispatch rate, corrected for its start at 0: until the time constant has passed once, the
@@ -75,7 +75,7 @@
 // few expensive requests, or a request that fails at every endpoint. Drawback: limits that are higher than
 // the endpoints' real capacity prevent reductions until the measured latency has lowered them.
 bool RateController::IsCongested(int in_flight) const {
-  if (subset_.IsShared()) return true;  // concurrency limits are not applied there
+  if (subset_.IsHeavilyShared()) return true;  // concurrency limits are not applied there
   double limits = 0;
   for (const auto& [id, endpoint] : registry_.records()) {
     if (endpoint.in_subset && endpoint.up && !endpoint.outlier.ejected) limits += endpoint.concurrency.limit;
@@ -94,9 +94,9 @@
   const bool was_rejected_or_unreachable =
       result == AttemptResult::kConnectFailed || result == AttemptResult::kRejected;
   const bool has_stopped_serving = now - endpoint.outlier.last_served_at > kPresumedDeadAfter;
-  if (was_rejected_or_unreachable && subset_.IsShared() && has_stopped_serving) return false;
+  if (was_rejected_or_unreachable && subset_.IsHeavilyShared() && has_stopped_serving) return false;
   // Where concurrency limits are applied, the limiter pauses an endpoint that rejects, which is sufficient.
-  return result != AttemptResult::kRejected || subset_.IsShared();
+  return result != AttemptResult::kRejected || subset_.IsHeavilyShared();
 }
 
 void RateController::OnOutcome(const EndpointRecord& endpoint, AttemptResult result, bool is_timely,
@@ -105,7 +105,7 @@
   const double weight = std::clamp(1 / (1 + token_rate_), kMinOutcomeWeight, kMaxOutcomeWeight);
   untimely_share_ += weight * ((is_timely ? 0.0 : 1.0) - untimely_share_);
   if (is_timely) return IncreaseRate(now);
-  const double threshold = subset_.IsShared() ? kMaxUntimelyShareWhenShared : kMaxUntimelyShare;
+  const double threshold = subset_.IsHeavilyShared() ? kMaxUntimelyShareWhenShared : kMaxUntimelyShare;
   if (untimely_share_ > threshold && now >= no_reduction_before_ && IsCongested(in_flight)) ReduceRate(now);
 }
 
@@ -117,7 +117,7 @@
   double increase = kRateIncreasePerTimelyAnswer;
   if (token_rate_ >= initial_rate) {
     increase = kRateIncreasePerTimelyAnswerAboveInitial;
-  } else if (!subset_.IsShared()) {
+  } else if (!subset_.IsHeavilyShared()) {
     increase = std::min(kRateIncreasePerTimelyAnswer, kMaxIncreaseShareOfRate * token_rate_);
   }
   token_rate_ = std::min(token_rate_ + increase,
--- a/src/decision/request_processor.cpp
+++ b/src/decision/request_processor.cpp
@@ -265,7 +265,7 @@
                                               Millis now) {
   // An attempt whose connection failed caused no work at any endpoint.
   const bool caused_no_work =
-      outcome.result == AttemptResult::kConnectFailed && mechanisms_.subset.IsShared();
+      outcome.result == AttemptResult::kConnectFailed && mechanisms_.subset.IsHeavilyShared();
   const double retry_cost = caused_no_work ? 0 : 1;
   if (!MayRetry(request, outcome, now) || !retry_budget_.CanAfford(retry_cost))
     return SendFinalAnswer(request);
--- a/src/lab/fleet_figures.cpp
+++ b/src/lab/fleet_figures.cpp
@@ -45,7 +45,7 @@
   decision::SubsetAssignment subsets(std::move(items), size);
   Choice choice(gateways);
   for (auto& own : choice) {
-    own = subsets.Next();
+    own = subsets.ChooseNextSubset();
     std::sort(own.begin(), own.end());
   }
   return choice;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -38,7 +38,7 @@
       decision::SubsetAssignment subsets(Hosts(c.hosts, seed), c.size);
       std::vector<int> loads(c.hosts, 0);
       for (std::size_t g = 0; g < c.gateways; ++g) {
-        const auto& own = subsets.Next();
+        const auto& own = subsets.ChooseNextSubset();
         EXPECT_EQ(std::set(own.begin(), own.end()).size(), std::min(c.size, c.hosts));
         for (const std::size_t host : own) ++loads[host];
       }
@@ -59,7 +59,7 @@
   decision::SubsetAssignment all(hosts, 12), without(fewer, 12);
   std::size_t moved = 0, pairs = 0, needed = 0;
   for (int g = 0; g < 16; ++g) {
-    const auto before = all.Next(), after = without.Next();
+    const auto before = all.ChooseNextSubset(), after = without.Next();
     needed += static_cast<std::size_t>(std::count(before.begin(), before.end(), 49u));
     for (const std::size_t host : after)
       moved += std::count(before.begin(), before.end(), host) == 0, ++pairs;
