--- a/include/meadowyard/policy.hpp
+++ b/include/meadowyard/policy.hpp
@@ -247,7 +247,7 @@
   double arrival_rate = 0;    ///< Requests per millisecond, smoothed.
   double untimely_share = 0;  ///< Smoothed share of outcomes that were not served within the objective.
   double failure_rate = 0;    ///< Smoothed share of failed attempts at endpoints that are not ejected.
-  double warm_responses = 0;  ///< Answers of warm endpoints, fading.
+  double warm_answers = 0;    ///< Answers of warm endpoints, fading.
   double warm_time = 0;       ///< Time of warm endpoints that they were observed over, fading.
   double mean_latency = 0;
   int samples = 0;
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -74,12 +74,12 @@
 }
 
 void SlowStart::Save(LearnedState& state) const {
-  state.warm_responses = warm_responses_;
+  state.warm_answers = warm_responses_;
   state.warm_time = warm_time_;
 }
 
 void SlowStart::Restore(const LearnedState& state) {
-  warm_responses_ = state.warm_responses;
+  warm_responses_ = state.warm_answers;
   warm_time_ = state.warm_time;
 }
 
--- a/src/operations/handover_state.cpp
+++ b/src/operations/handover_state.cpp
@@ -64,7 +64,7 @@
       StoredField{"arriving", &Record::arrival_rate},
       StoredField{"failing", &Record::untimely_share},
       StoredField{"unserved", &Record::failure_rate},
-      StoredField{"warm_served", &Record::warm_responses},
+      StoredField{"warm_served", &Record::warm_answers},
       StoredField{"warm_time", &Record::warm_time},
       StoredField{"mean_latency", &Record::mean_latency},
       StoredField{"samples", &Record::samples},
--- a/tests/decision/characterization_test.cpp
+++ b/tests/decision/characterization_test.cpp
@@ -139,7 +139,7 @@
   digest.Add(learned.arrival_rate);
   digest.Add(learned.untimely_share);
   digest.Add(learned.failure_rate);
-  digest.Add(learned.warm_responses);
+  digest.Add(learned.warm_answers);
   digest.Add(learned.warm_time);
   digest.Add(learned.mean_latency);
   digest.Add(learned.samples);
--- a/tests/operations/handover_format_test.cpp
+++ b/tests/operations/handover_format_test.cpp
@@ -121,7 +121,7 @@
   learned.arrival_rate = 0.0625;
   learned.untimely_share = 0.01;
   learned.failure_rate = 0.02;
-  learned.warm_responses = 33.3;
+  learned.warm_answers = 33.3;
   learned.warm_time = 44.4;
   learned.mean_latency = 5.55;
   learned.samples = 67;
@@ -204,7 +204,7 @@
   EXPECT_EQ(read.arrival_rate, expected.arrival_rate);
   EXPECT_EQ(read.untimely_share, expected.untimely_share);
   EXPECT_EQ(read.failure_rate, expected.failure_rate);
-  EXPECT_EQ(read.warm_responses, expected.warm_responses);
+  EXPECT_EQ(read.warm_answers, expected.warm_answers);
   EXPECT_EQ(read.warm_time, expected.warm_time);
   EXPECT_EQ(read.mean_latency, expected.mean_latency);
   EXPECT_EQ(read.samples, expected.samples);
