--- a/src/decision/endpoint_record.hpp
+++ b/src/decision/endpoint_record.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What is known of one endpoint. Each part has one mechanism that writes it.
+/// The state that a gateway keeps of each endpoint. Each part of it is written by one mechanism only.
 #ifndef MEADOWYARD_DECISION_ENDPOINT_RECORD_HPP_
 #define MEADOWYARD_DECISION_ENDPOINT_RECORD_HPP_
 
@@ -10,61 +10,65 @@
 
 namespace meadowyard::decision {
 
-/// Latency in milliseconds, relative to the latency of the request's class. Written by ConcurrencyLimiter.
+/// Latency in milliseconds, divided by the relative latency of the request's class. Written by
+/// ConcurrencyLimiter.
 struct LatencyEstimate {
-  double smoothed = 0;     ///< 0: not measured yet.
-  double average = 0;      ///< The same, smoothed over more samples.
-  double uncongested = 0;  ///< The lowest average: the latency without queueing.
+  double smoothed = 0;     ///< Moving average over recent samples; 0: not measured yet.
+  double average = 0;      ///< Moving average over more samples.
+  double uncongested = 0;  ///< Estimate of the latency without queueing: the lowest `average`.
   int samples = 0;
 };
 
-/// What endpoints of one kind have in common. Owned by EndpointRegistry.
+/// What is measured over all endpoints of one kind (Endpoint::kind). Owned by EndpointRegistry.
 struct EndpointKind {
   LatencyEstimate latency;
-  double utilization = 0;  ///< Reported, smoothed; written by LoadReportTracker.
+  double utilization = 0;  ///< As reported by the endpoints, smoothed; written by LoadReportTracker.
 };
 
-/// Written by ConcurrencyLimiter.
+/// Concurrency limit of one endpoint. Written by ConcurrencyLimiter.
 struct ConcurrencyState {
-  double limit = 1;  ///< Requests of this gateway that it takes uncongested; below 1 it pauses in between.
-  double slots = 1;  ///< The limit, rounded by chance to an integer.
-  Millis paused_until = kNever;
+  /// Requests of this gateway that the endpoint takes at a time without congestion. Below 1, the endpoint
+  /// gets one request at a time with pauses in between.
+  double limit = 1;
+  double slots = 1;              ///< The limit, rounded up or down at random to an integer.
+  Millis paused_until = kNever;  ///< The endpoint is sent no request before this time.
 };
 
-/// Written by OutlierDetector.
+/// Failures, ejection and health probes of one endpoint. Written by OutlierDetector.
 struct OutlierState {
   double failure_rate = 0;  ///< Smoothed share of failed attempts.
   bool ejected = false;
-  bool connection_failed = false;  ///< It may come back as a new process that has to warm up.
-  Millis next_probe = 0;
+  /// Its connections failed as if its process had ended: when it serves again, it starts in slow start.
+  bool connection_failed = false;
+  Millis next_probe_at = 0;  ///< While ejected: time from which the next health probe is due.
   Millis probe_interval = 0;
   Millis last_served_at = kNever;
-  Millis restored_at = kNever;  ///< End of the last ejection.
-  Millis hinted_at = kNever;    ///< Another gateway said that it has recovered.
+  Millis restored_at = kNever;         ///< End of the last ejection.
+  Millis recovery_hinted_at = kNever;  ///< Last report by another gateway that the endpoint has recovered.
 };
 
-/// Written by SlowStart.
+/// Slow start of one endpoint. Written by SlowStart.
 struct SlowStartState {
   Millis started_at = kNever;
-  bool start_confirmed = false;  ///< By service discovery: not a guess of this gateway's.
-  double credit = 0;             ///< Requests that it may be sent while it warms up.
+  bool start_confirmed = false;  ///< Reported by service discovery, not only presumed by this gateway.
+  double credit = 0;             ///< Requests that the endpoint may be sent while it warms up; at most 1.
   Millis credit_updated_at = 0;
-  Millis credit_full_since = 0;  ///< Since then the credit is enough for one request.
+  Millis credit_full_since = 0;  ///< Time since which the credit has sufficed for one request.
 };
 
-/// One endpoint. Owned by EndpointRegistry; its address stays the same for as long as it is known.
+/// All state of one endpoint. Owned by EndpointRegistry; its address does not change while it is known there.
 struct EndpointRecord {
   Endpoint info;
   EndpointKind* kind = nullptr;
   std::uint64_t hash = 0;  ///< HashId of its id.
-  bool listed = false;     ///< By the last endpoint list, if only as draining.
-  bool up = false;         ///< May be sent to: listed as up and not in maintenance.
+  bool listed = false;     ///< In the endpoint list of service discovery, as up or as draining.
+  bool up = false;         ///< May be sent new requests: listed as up and not in maintenance.
   bool in_subset = false;  ///< Written by SubsetSelector.
-  int references = 0;      ///< Attempts of open requests that name it.
-  int in_flight = 0;       ///< Attempts of this gateway that it works on.
+  int references = 0;      ///< Attempts of open requests that point to this record.
+  int in_flight = 0;       ///< Attempts of this gateway that the endpoint is working on.
   int tunnels = 0;         ///< Open tunnels through it.
   LatencyEstimate latency;
-  double utilization = 0;  ///< Reported, smoothed; written by LoadReportTracker.
+  double utilization = 0;  ///< As reported by the endpoint, smoothed; written by LoadReportTracker.
   ConcurrencyState concurrency;
   OutlierState outlier;
   SlowStartState slow_start;
--- a/src/decision/endpoint_tracker.cpp
+++ b/src/decision/endpoint_tracker.cpp
@@ -7,11 +7,13 @@
 namespace meadowyard::decision {
 namespace {
 
-// Untimely share of recent outcomes below which requests over quota are sent where many gateways share an
-// endpoint.
-constexpr double kMaxUntimelyForOverQuota = 0.1;
-constexpr Millis kMinRestartInterval = 500;    // ms by which two starts of an endpoint differ at the least
-constexpr std::size_t kMaxGossipEntries = 32;  // of each sort
+// Where many gateways share an endpoint, requests over quota are sent only while the untimely share of recent
+// outcomes is below this.
+constexpr double kMaxUntimelyShareForOverQuota = 0.1;
+// Time in ms by which a reported start of an endpoint has to be later than the known one to count as another
+// start.
+constexpr Millis kMinRestartInterval = 500;
+constexpr std::size_t kMaxGossipEntries = 32;  // in each list of a Gossip message
 
 }  // namespace
 
@@ -41,17 +43,18 @@
     return;
   }
   const AttemptEvidence evidence = OutlierDetector::Classify(endpoint, outcome, now);
-  if (evidence.served && slow_start_.IsWarm(endpoint, now)) slow_start_.CountWarmResponse();
-  outliers_.Count(endpoint, evidence, now);
+  if (evidence.served && slow_start_.IsWarm(endpoint, now)) slow_start_.CountWarmAnswer();
+  outliers_.CountOutcome(endpoint, evidence, now);
   if (evidence.served && endpoint.outlier.ejected) {
     OnProbeServed(endpoint, now);
   } else {
     outliers_.EjectIfFailing(endpoint, evidence, now);
   }
   const double latency = outcome.latency / relative_class_latency;
-  // A failure never lowers the latency: fast errors would look like a fast endpoint. And an answer that never
-  // came, though others did, or a connection that broke, took no time of the endpoint's: it was lost on the
-  // way. It could hurt at an endpoint that answers few so late that most time out; these few show it.
+  // A failure never lowers the latency estimate, because fast errors would make the endpoint look fast. A
+  // lost connection, or a time-out while the endpoint answered other requests, is left out: the request or
+  // its answer was lost on the network, so the elapsed time is not the endpoint's latency. Limitation: where
+  // most requests of a slow endpoint time out, only its few late answers raise the estimate.
   const bool is_slow_failure =
       !evidence.slow_request && !evidence.connection_lost && latency > endpoint.latency.smoothed;
   if (evidence.served || is_slow_failure) limiter_.Measure(endpoint, latency, evidence.served);
@@ -64,13 +67,14 @@
   if (!endpoint.outlier.ejected) outliers_.Restore(endpoint, now);
 }
 
-// Where many gateways share an endpoint, a limit each would be a fraction of a request learned from next to
-// nothing. There the rate alone admits, and what is over quota is sent only while outcomes are timely: it
-// took tokens like any other.
+// Where many gateways share an endpoint, the concurrency limit of each gateway would be a fraction of a
+// request and learned from too few samples. There only the tokens of the RateController limit what is sent.
+// Requests over quota take tokens like all others, so they are sent only while few outcomes are untimely.
 bool EndpointTracker::IsReady(EndpointRecord& endpoint, bool within_quota, double untimely_share,
                               Millis now) {
-  const bool has_capacity = subset_.IsShared() ? within_quota || untimely_share < kMaxUntimelyForOverQuota
-                                               : limiter_.HasCapacity(endpoint, within_quota, now);
+  const bool has_capacity = subset_.IsShared()
+                                ? within_quota || untimely_share < kMaxUntimelyShareForOverQuota
+                                : limiter_.HasCapacity(endpoint, within_quota, now);
   return has_capacity && slow_start_.HasCredit(endpoint, now);
 }
 
@@ -82,8 +86,8 @@
   for (const Gossip::Start& start : gossip.started) {
     EndpointRecord* const endpoint = registry_.Find(start.endpoint);
     if (endpoint == nullptr) continue;
-    // The latest start that any gateway knows of: a list comes late, a stopped gateway later, and clocks
-    // differ.
+    // Only a start later than the known one counts. Older starts are still reported, because endpoint lists
+    // arrive late and stalled gateways report even later; and the start times differ by the gateways' clocks.
     const bool is_known = start.started_at < endpoint->slow_start.started_at + kMinRestartInterval;
     const bool is_warm = now - start.started_at >= settings_.slow_start_duration;
     if (is_known || is_warm) continue;
@@ -94,7 +98,9 @@
   }
 }
 
-// Guesses are kept back: an endpoint that one gateway alone can't reach would count as warming up for all.
+// Reports only starts that service discovery has confirmed. A gateway also presumes a restart after
+// connection failures; if it reported that, an endpoint that only this gateway can't reach would be in slow
+// start at every gateway.
 Gossip EndpointTracker::CollectGossip(Millis now) const {
   Gossip gossip;
   for (const auto& [id, endpoint] : registry_.records()) {
--- a/src/decision/endpoint_tracker.hpp
+++ b/src/decision/endpoint_tracker.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What an endpoint can be trusted with: joins outlier detection, concurrency limits, load reports and slow
-/// start, and exchanges what other gateways want to know of endpoints.
+/// Decides whether an endpoint can take a request: combines outlier detection, concurrency limits, load
+/// reports and slow start, and exchanges endpoint starts and recoveries with other gateways.
 #ifndef MEADOWYARD_DECISION_ENDPOINT_TRACKER_HPP_
 #define MEADOWYARD_DECISION_ENDPOINT_TRACKER_HPP_
 
@@ -19,33 +19,40 @@
 
 namespace meadowyard::decision {
 
+/// Updates the EndpointRecords from the outcomes of attempts, load reports and gossip.
 class EndpointTracker {
  public:
-  /// All arguments outlive it.
+  /// All arguments must outlive this object.
   EndpointTracker(const Settings& settings, const GatewayMembership& membership, const SubsetSelector& subset,
                   EndpointRegistry& registry, RandomSource& random, EjectionObserver& observer);
 
-  /// The settings have changed.
+  /// Applies changed settings.
   void Configure() { reports_.Configure(settings_.load_report_fields); }
 
-  /// The endpoint is a new process: it warms up, and nothing that was learned of the old one holds for it.
+  /// Starts the slow start of an endpoint whose process was started at `started_at`, and discards what was
+  /// measured of the previous process.
   void Reset(EndpointRecord& endpoint, Millis started_at, Millis now);
-  /// Learns from the end of an attempt. `relative_class_latency`: of the request's class, over the mean of
-  /// all.
+  /// Updates the endpoint from the end of an attempt. `relative_class_latency`: mean latency of the request's
+  /// class divided by the mean latency of all classes.
   void OnOutcome(EndpointRecord& endpoint, const AttemptOutcome& outcome, double relative_class_latency,
                  Millis now);
+  /// `load`: values in the order of Settings::load_report_fields.
   void OnLoadReport(EndpointRecord& endpoint, const std::vector<double>& load) const {
     reports_.Record(endpoint, load);
   }
 
-  /// Whether an endpoint that is not ejected can take a request now. `untimely_share`: of recent outcomes.
+  /// Whether an endpoint that is not ejected can take a request now. `within_quota`: whether the request is
+  /// within its tenant's quota; `untimely_share`: share of recent outcomes that were not timely, see
+  /// RateController.
   [[nodiscard]] bool IsReady(EndpointRecord& endpoint, bool within_quota, double untimely_share, Millis now);
   /// Whether an ejected endpoint may be sent a health probe now.
   [[nodiscard]] bool IsProbeDue(EndpointRecord& endpoint, Millis now);
   SlowStart& slow_start() { return slow_start_; }
   [[nodiscard]] const SlowStart& slow_start() const { return slow_start_; }
 
+  /// Applies the endpoint starts and recoveries that other gateways have reported.
   void ApplyGossip(const Gossip& gossip, Millis now);
+  /// The endpoint starts and recoveries to be reported to other gateways.
   [[nodiscard]] Gossip CollectGossip(Millis now) const;
 
   void Save(LearnedState& state) const;
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -8,16 +8,21 @@
 namespace {
 
 constexpr double kEjectionThreshold = 0.3;     // failure rate above which an endpoint is ejected
-constexpr double kRestorationThreshold = 0.1;  // and below which, after probes, it is trusted again
-constexpr double kOverallFailureWeight =
-    0.02;                                     // of a new outcome in the failure rate of all trusted endpoints
-constexpr double kDeviations = 3;             // standard deviations from that which chance is granted
-constexpr Millis kFirstProbeInterval = 300;   // ms to the first probe; doubles
-constexpr Millis kMaxProbeInterval = 4000;    // ms
-constexpr int kMaxIntervalsLeftToOthers = 8;  // probe intervals that a gateway leaves to other gateways
-constexpr double kMinJitter = 0.75;           // of a probe interval
-constexpr double kJitterRange = 0.5;
-constexpr Millis kRecoveryReportedFor = 2000;  // ms that an endpoint's recovery is reported to other gateways
+constexpr double kRestorationThreshold = 0.1;  // failure rate below which a probed endpoint is restored
+// Weight of a new outcome in the overall failure rate of the endpoints that are not ejected.
+constexpr double kOverallFailureWeight = 0.02;
+// An endpoint's failure rate may exceed the overall one by this many standard deviations through random
+// variation.
+constexpr double kEjectionDeviations = 3;
+constexpr Millis kFirstProbeInterval = 300;  // ms; doubled for each further interval
+constexpr Millis kMaxProbeInterval = 4000;   // ms
+// Probe intervals in a row that a gateway leaves to the other gateways at most.
+constexpr int kMaxIntervalsLeftToOthers = 8;
+constexpr double kMinIntervalFactor = 0.75;   // a probe interval is multiplied by at least this ...
+constexpr double kIntervalFactorRange = 0.5;  // ... and at random by up to this much more
+// Time in ms for which an endpoint's recovery is reported to other gateways. Repeated reports of an endpoint
+// that arrive within this time of each other are of the same recovery.
+constexpr Millis kRecoveryReportDuration = 2000;
 
 }  // namespace
 
@@ -43,32 +48,34 @@
 void OutlierDetector::OnRejected(EndpointRecord& endpoint, Millis now) {
   OutlierState& state = endpoint.outlier;
   const bool is_shared = subset_.IsShared();
-  if (is_shared) state.failure_rate += kFailureWeight * (1 - state.failure_rate);
-  const bool is_leaving =
+  if (is_shared) state.failure_rate += kFailureRateWeight * (1 - state.failure_rate);
+  const bool is_presumed_dead =
       is_shared && state.failure_rate > kEjectionThreshold && now - state.last_served_at > kPresumedDeadAfter;
-  if (state.ejected || is_leaving) Eject(endpoint, now);
+  if (state.ejected || is_presumed_dead) Eject(endpoint, now);
 }
 
-void OutlierDetector::Count(EndpointRecord& endpoint, const AttemptEvidence& evidence, Millis now) {
+void OutlierDetector::CountOutcome(EndpointRecord& endpoint, const AttemptEvidence& evidence, Millis now) {
   OutlierState& state = endpoint.outlier;
-  // A congested endpoint fails connections too: only one that has long served nothing may be a new process.
-  const bool is_silent = now - state.last_served_at > kPresumedDeadAfter;
-  if (evidence.connection_lost && state.failure_rate >= kFailureWeight && is_silent) {
+  // A congested endpoint loses connections, too. So a lost connection counts as a sign of a restart only if
+  // the endpoint has recently failed an attempt and has served nothing for kPresumedDeadAfter.
+  const bool is_unresponsive = now - state.last_served_at > kPresumedDeadAfter;
+  if (evidence.connection_lost && state.failure_rate >= kFailureRateWeight && is_unresponsive) {
     state.connection_failed = true;
   }
   if (evidence.served) state.last_served_at = now;
   if (evidence.slow_request) return;
-  const double failed = evidence.served ? 0.0 : 1.0;
-  state.failure_rate += kFailureWeight * (failed - state.failure_rate);
-  // Where many gateways overload service discovery, endpoints that have gone stay listed for long: each
-  // speaks for itself alone, or with most of them gone none would be ejected.
-  const bool is_absent = evidence.connect_failed && subset_.IsShared();
-  if (!is_absent && !state.ejected) failure_rate_ += kOverallFailureWeight * (failed - failure_rate_);
+  const double failure = evidence.served ? 0.0 : 1.0;
+  state.failure_rate += kFailureRateWeight * (failure - state.failure_rate);
+  // Many gateways may overload service discovery, and then removed endpoints stay listed for a long time.
+  // Their failed connections do not count in the overall failure rate: with most of the listed endpoints
+  // removed, that rate would be so high that none of them would be ejected.
+  const bool may_be_removed = evidence.connect_failed && subset_.IsShared();
+  if (!may_be_removed && !state.ejected) failure_rate_ += kOverallFailureWeight * (failure - failure_rate_);
 }
 
 void OutlierDetector::OnProbeServed(EndpointRecord& endpoint, Millis now) const {
   OutlierState& state = endpoint.outlier;
-  state.next_probe = now;
+  state.next_probe_at = now;
   state.probe_interval = kFirstProbeInterval;
   state.ejected = state.failure_rate >= RestorationThreshold();
 }
@@ -80,20 +87,22 @@
 
 void OutlierDetector::EjectIfFailing(EndpointRecord& endpoint, const AttemptEvidence& evidence, Millis now) {
   if (evidence.served || evidence.slow_request) return;
-  const bool is_absent = evidence.connect_failed && subset_.IsShared();
-  const double threshold = is_absent ? kEjectionThreshold : EjectionThreshold();
+  const bool may_be_removed = evidence.connect_failed && subset_.IsShared();
+  const double threshold = may_be_removed ? kEjectionThreshold : EjectionThreshold();
   if (endpoint.outlier.failure_rate > threshold || endpoint.outlier.ejected) Eject(endpoint, now);
 }
 
 void OutlierDetector::Eject(EndpointRecord& endpoint, Millis now) {
   OutlierState& state = endpoint.outlier;
   if (!std::exchange(state.ejected, true)) observer_.OnEjected(endpoint);
-  state.next_probe = now;
-  // Where gateways share an endpoint one of them probes it at each interval, on average: which one is drawn.
+  state.next_probe_at = now;
+  // Where gateways share an endpoint, one of them on average probes it in each interval: each gateway draws
+  // at random whether it probes or leaves the interval to the others.
   int intervals = 0;
   bool is_left_to_others = false;
   do {
-    state.next_probe += state.probe_interval * (kMinJitter + kJitterRange * random_.Uniform());
+    state.next_probe_at +=
+        state.probe_interval * (kMinIntervalFactor + kIntervalFactorRange * random_.Uniform());
     state.probe_interval = std::min(state.probe_interval * 2, kMaxProbeInterval);
     ++intervals;
     is_left_to_others = membership_.knows_peers() && intervals < kMaxIntervalsLeftToOthers &&
@@ -104,22 +113,23 @@
 void OutlierDetector::OnRecoveryHint(EndpointRecord& endpoint, Millis now) {
   OutlierState& state = endpoint.outlier;
   if (!state.ejected) return;
-  if (now - std::exchange(state.hinted_at, now) < kRecoveryReportedFor) return;
+  if (now - std::exchange(state.recovery_hinted_at, now) < kRecoveryReportDuration) return;
   state.probe_interval = kFirstProbeInterval;
-  state.next_probe = std::min(state.next_probe, now + kFirstProbeInterval * random_.Uniform());
+  state.next_probe_at = std::min(state.next_probe_at, now + kFirstProbeInterval * random_.Uniform());
 }
 
 bool OutlierDetector::IsProbeDue(const EndpointRecord& endpoint, Millis now) {
-  return now >= endpoint.outlier.next_probe && endpoint.in_flight == 0;
+  return now >= endpoint.outlier.next_probe_at && endpoint.in_flight == 0;
 }
 
 bool OutlierDetector::WasRestoredRecently(const EndpointRecord& endpoint, Millis now) {
-  return now - endpoint.outlier.restored_at < kRecoveryReportedFor;
+  return now - endpoint.outlier.restored_at < kRecoveryReportDuration;
 }
 
 double OutlierDetector::EjectionThreshold() const {
-  const double variance = failure_rate_ * (1 - failure_rate_) * kFailureWeight / (2 - kFailureWeight);
-  return std::max(kEjectionThreshold, failure_rate_ + kDeviations * std::sqrt(variance));
+  // The variance of a moving average of outcomes, each of which is a failure with probability failure_rate_.
+  const double variance = failure_rate_ * (1 - failure_rate_) * kFailureRateWeight / (2 - kFailureRateWeight);
+  return std::max(kEjectionThreshold, failure_rate_ + kEjectionDeviations * std::sqrt(variance));
 }
 
 double OutlierDetector::RestorationThreshold() const { return kRestorationThreshold + failure_rate_; }
--- a/src/decision/slow_start.hpp
+++ b/src/decision/slow_start.hpp
@@ -1,9 +1,11 @@
 /// @file
-/// Slow start: how much a new or restarted endpoint may be sent while it warms up.
+/// Slow start: limits the requests that are sent to a new or restarted endpoint while it warms up.
 ///
-/// An endpoint that warms up fails when all gateways together send it more than its capacity allows. It earns
-/// credit by the rate at which warm endpoints answer this gateway. It starts with a chance fraction of a
-/// request: one request each from hundreds of gateways at once would overload it.
+/// A warming endpoint fails when all gateways together send it more than Settings::overload_multiple times
+/// its current capacity. Each gateway therefore sends it a request only against credit, which grows in
+/// proportion to the rate at which warm endpoints answer this gateway. The credit starts at a random fraction
+/// of a request: if every gateway started with a full one, hundreds of gateways would overload the endpoint
+/// at once.
 #ifndef MEADOWYARD_DECISION_SLOW_START_HPP_
 #define MEADOWYARD_DECISION_SLOW_START_HPP_
 
@@ -14,31 +16,33 @@
 
 namespace meadowyard::decision {
 
+/// Keeps the slow-start credit of each warming endpoint, and the rate by which the credit grows.
 class SlowStart {
  public:
-  /// All arguments outlive it.
+  /// All arguments must outlive this object.
   SlowStart(const Settings& settings, const GatewayMembership& membership, RandomSource& random)
       : settings_(settings), membership_(membership), random_(random) {}
 
-  /// The share of its capacity that a started endpoint has by now, from 0 to 1.
-  [[nodiscard]] double Warmth(const EndpointRecord& endpoint, Millis now) const;
+  /// The share of its full capacity that an endpoint has at `now`, from 0 to 1. It grows linearly from
+  /// Settings::slow_start_fraction to 1 over Settings::slow_start_duration.
+  [[nodiscard]] double CapacityShare(const EndpointRecord& endpoint, Millis now) const;
   [[nodiscard]] bool IsWarm(const EndpointRecord& endpoint, Millis now) const {
-    return Warmth(endpoint, now) >= 1;
+    return CapacityShare(endpoint, now) >= 1;
   }
 
-  /// The endpoint is a new process, which has run since `started_at`.
+  /// Starts the slow start of an endpoint whose process was started at `started_at`.
   void Reset(EndpointRecord& endpoint, Millis started_at, Millis now);
-  /// Whether the endpoint may be sent a request now; earns credit by the time that has passed. Always true
-  /// for a warm endpoint.
+  /// Whether the endpoint may be sent a request now; always true for a warm endpoint. Adds the credit earned
+  /// since the last call.
   [[nodiscard]] bool HasCredit(EndpointRecord& endpoint, Millis now);
-  /// A request is sent to the endpoint.
+  /// Takes the credit of one request that is sent to the endpoint.
   void Spend(EndpointRecord& endpoint, Millis now) const;
 
-  /// A warm endpoint has answered.
-  void CountWarmResponse() { warm_responses_ += 1; }
-  /// Learns the rate at which warm endpoints answer this gateway. `passed`: since the last call;
-  /// `arrival_rate`: requests per millisecond.
-  void LearnReferenceRate(const EndpointRegistry& registry, Millis passed, double arrival_rate, Millis now);
+  /// Counts an answer of a warm endpoint.
+  void CountWarmAnswer() { warm_answers_ += 1; }
+  /// Updates the rate at which warm endpoints answer this gateway. `elapsed`: time since the last call;
+  /// `arrival_rate`: requests per millisecond at this gateway.
+  void LearnReferenceRate(const EndpointRegistry& registry, Millis elapsed, double arrival_rate, Millis now);
 
   void Save(LearnedState& state) const;
   void Restore(const LearnedState& state);
@@ -49,10 +53,10 @@
   const Settings& settings_;
   const GatewayMembership& membership_;
   RandomSource& random_;
-  double warm_responses_ = 0;                   // fading
-  double warm_time_ = 0;                        // of warm endpoints, times their weight; fading
-  double reference_rate_ = 0;                   // answers per millisecond of a warm endpoint of weight 1
-  double reference_rate_at_quorum_ = kForever;  // the same when last in contact with a majority
+  double warm_answers_ = 0;    // count, exponentially decayed
+  double warm_time_ = 0;       // ms that each endpoint was warm times its weight, summed, decayed
+  double reference_rate_ = 0;  // answers per ms to this gateway by a warm endpoint of weight 1
+  double reference_rate_at_quorum_ = kForever;  // reference_rate_ when last in contact with a majority
 };
 
 }  // namespace meadowyard::decision
