--- a/src/decision/endpoint_registry.cpp
+++ b/src/decision/endpoint_registry.cpp
@@ -9,7 +9,7 @@
 namespace meadowyard::decision {
 namespace {
 
-constexpr std::size_t kMaxDeparted = 256;  // ids remembered after they left the list: bounds memory
+constexpr std::size_t kMaxRecentlyUnlisted = 256;  // ids kept after removal from the list; bounds memory
 
 bool IsUsableWeight(double weight) { return weight > 0 && std::isfinite(weight); }
 
@@ -29,7 +29,7 @@
   const EndpointRecord* const record = Find(id);
   if (record != nullptr && record->listed) return true;
   if (in_maintenance_.contains(id)) return true;
-  return std::find(departed_.begin(), departed_.end(), id) != departed_.end();
+  return std::find(recently_unlisted_.begin(), recently_unlisted_.end(), id) != recently_unlisted_.end();
 }
 
 double EndpointRegistry::MedianLatency() const {
@@ -50,12 +50,12 @@
       record.up = false;
     }
   }
-  for (const Endpoint& endpoint : update.endpoints) Learn(endpoint, now, on_restart);
-  ForgetUnlisted();
-  CountUp();
+  for (const Endpoint& endpoint : update.endpoints) ApplyEndpoint(endpoint, now, on_restart);
+  RemoveUnlisted();
+  UpdateUpCount();
 }
 
-void EndpointRegistry::Learn(const Endpoint& endpoint, Millis now, const RestartHandler& on_restart) {
+void EndpointRegistry::ApplyEndpoint(const Endpoint& endpoint, Millis now, const RestartHandler& on_restart) {
   const auto [entry, added] = records_.try_emplace(endpoint.id);
   EndpointRecord& record = entry->second;
   const bool restarted = added || endpoint.started_at > record.info.started_at;
@@ -66,24 +66,24 @@
   record.up = endpoint.state == EndpointState::kUp && !in_maintenance_.contains(endpoint.id);
   if (!IsUsableWeight(record.info.weight)) record.info.weight = 1;
   if (!restarted) return;
-  const bool start_is_known = endpoint.started_at > 0;  // 0: up for long
+  const bool start_is_known = endpoint.started_at > 0;  // 0: started long ago
   on_restart(record, start_is_known ? std::min(endpoint.started_at, now) : kNever);
   if (start_is_known) record.slow_start.start_confirmed = true;
 }
 
-void EndpointRegistry::ForgetUnlisted() {
+void EndpointRegistry::RemoveUnlisted() {
   for (auto entry = records_.begin(); entry != records_.end();) {
     if (entry->second.listed || entry->second.references > 0) {
       ++entry;
       continue;
     }
-    departed_.push_back(entry->first);
-    if (departed_.size() > kMaxDeparted) departed_.pop_front();
+    recently_unlisted_.push_back(entry->first);
+    if (recently_unlisted_.size() > kMaxRecentlyUnlisted) recently_unlisted_.pop_front();
     entry = records_.erase(entry);
   }
 }
 
-void EndpointRegistry::CountUp() {
+void EndpointRegistry::UpdateUpCount() {
   up_count_ = 0;
   for (const auto& [id, record] : records_) {
     if (record.up) ++up_count_;
@@ -95,17 +95,17 @@
   const bool started = in_maintenance_.insert(id).second;
   if (!started) return false;
   if (EndpointRecord* const record = Find(id)) record->up = false;
-  CountUp();
+  UpdateUpCount();
   return true;
 }
 
 bool EndpointRegistry::EndMaintenance(const std::string& id, Millis now, const RestartHandler& on_restart) {
   if (in_maintenance_.erase(id) == 0) return false;
   if (EndpointRecord* const record = Find(id)) {
-    on_restart(*record, now);  // whatever the list says yet, it may have been started a moment ago
+    on_restart(*record, now);  // may just have been restarted, even if the list does not show it yet
     record->up = record->listed && record->info.state == EndpointState::kUp;
   }
-  CountUp();
+  UpdateUpCount();
   return true;
 }
 
@@ -131,7 +131,7 @@
     in_maintenance_.insert(id);
     if (EndpointRecord* const record = Find(id)) record->up = false;
   }
-  CountUp();
+  UpdateUpCount();
 }
 
 }  // namespace meadowyard::decision
--- a/src/decision/endpoint_registry.hpp
+++ b/src/decision/endpoint_registry.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The endpoints that service discovery lists, and those that operators have put into maintenance.
+/// Keeps a record of each endpoint that service discovery lists, and which endpoints operators have put into
+/// maintenance.
 #ifndef MEADOWYARD_DECISION_ENDPOINT_REGISTRY_HPP_
 #define MEADOWYARD_DECISION_ENDPOINT_REGISTRY_HPP_
 
@@ -15,13 +16,15 @@
 
 namespace meadowyard::decision {
 
+/// Owns the EndpointRecords.
 class EndpointRegistry {
  public:
-  /// Called for an endpoint that is new or has been restarted, with the start of its process.
+  /// Called for an endpoint that is new or has been restarted, with the start time of its process.
   using RestartHandler = std::function<void(EndpointRecord& endpoint, Millis started_at)>;
-  /// By id: iteration has to be repeatable.
+  /// Ordered by id, so that iteration, and with it each decision, is repeatable.
   using Records = std::map<std::string, EndpointRecord>;
 
+  /// The record of an endpoint, or null if there is none.
   EndpointRecord* Find(const std::string& id);
   [[nodiscard]] const EndpointRecord* Find(const std::string& id) const;
   Records& records() { return records_; }
@@ -29,32 +32,34 @@
 
   /// Whether an endpoint is listed, was listed recently, or is in maintenance.
   [[nodiscard]] bool IsKnown(const std::string& id) const;
-  /// Endpoints that may be sent to.
+  /// Number of endpoints that are up (EndpointRecord::up).
   [[nodiscard]] int up_count() const { return up_count_; }
-  /// Median of the measured latencies of the endpoints that are up; 0: none was measured.
+  /// Median of the smoothed latencies of the endpoints that are up, in milliseconds; 0 if none was measured.
   [[nodiscard]] double MedianLatency() const;
 
-  /// Takes over a snapshot or a delta.
+  /// Applies a snapshot or a delta of the endpoint list.
   void Apply(const EndpointUpdate& update, Millis now, const RestartHandler& on_restart);
 
-  /// Maintenance is kept apart from the list, so that no list can end it. False: unknown, or in it already.
+  /// Puts an endpoint into maintenance. This is stored apart from the endpoint list, so that no update of the
+  /// list can end it. Returns false if the endpoint is unknown or already in maintenance.
   bool StartMaintenance(const std::string& id);
-  /// False: it was not in maintenance. An endpoint that is known counts as restarted now.
+  /// Ends an endpoint's maintenance; returns false if it was not in maintenance. An endpoint that has a
+  /// record is treated as restarted at `now`.
   bool EndMaintenance(const std::string& id, Millis now, const RestartHandler& on_restart);
 
   void Save(LearnedState& state) const;
-  /// Takes over the kinds, and which endpoints are in maintenance.
+  /// Restores the latencies of the kinds, and which endpoints are in maintenance.
   void Restore(const LearnedState& state);
 
  private:
-  void Learn(const Endpoint& endpoint, Millis now, const RestartHandler& on_restart);
-  void ForgetUnlisted();
-  void CountUp();
+  void ApplyEndpoint(const Endpoint& endpoint, Millis now, const RestartHandler& on_restart);
+  void RemoveUnlisted();
+  void UpdateUpCount();
 
   Records records_;
   std::map<std::string, EndpointKind> kinds_;
   std::set<std::string> in_maintenance_;
-  std::deque<std::string> departed_;  // ids that were listed recently
+  std::deque<std::string> recently_unlisted_;  // ids, oldest first
   int up_count_ = 0;
 };
 
--- a/src/decision/hashing.cpp
+++ b/src/decision/hashing.cpp
@@ -8,6 +8,7 @@
 constexpr std::uint64_t kFirstMixFactor = 0xff51afd7ed558ccdULL;
 constexpr std::uint64_t kGoldenGamma = 0x9e3779b97f4a7c15ULL;
 constexpr std::uint64_t kSecondMixFactor = 0xd6e8feb86659fd93ULL;
+// A double holds 53 bits exactly; the lowest 11 of the 64 are dropped.
 constexpr double kTwoToThe53 = 9007199254740992.0;
 
 }  // namespace
