--- a/include/meadowyard/policy.hpp
+++ b/include/meadowyard/policy.hpp
@@ -257,7 +257,7 @@
   double arrival_rate = 0;    ///< Requests per millisecond, smoothed.
   double untimely_share = 0;  ///< Smoothed share of outcomes that were not served within the objective.
   double failure_rate = 0;    ///< Smoothed share of failed attempts at endpoints that are not ejected.
-  double warm_responses = 0;  ///< Answers from warm endpoints, exponentially decayed.
+  double warm_answers = 0;    ///< Answers from warm endpoints, exponentially decayed.
   double warm_time = 0;       ///< Time in ms that warm endpoints were observed for, decayed likewise.
   double mean_latency = 0;    ///< Over all classes, smoothed, in ms.
   int samples = 0;            ///< Samples in mean_latency.
