--- a/src/app/cluster_service.cpp
+++ b/src/app/cluster_service.cpp
@@ -70,7 +70,7 @@
   coordination::EndpointListLeader::Times times;
   times.lease.term = peers_->lease_term;
   times.lease.retry_interval = 2 * peers_->heartbeat_interval;
-  times.stale = 2 * peers_->suspect_timeout;
+  times.leader_timeout = 2 * peers_->suspect_timeout;
   duty_.emplace(static_cast<int>(peers_->self), static_cast<int>(peers_->peers.size()), times, core::Now(),
                 static_cast<coordination::FencingToken>(core::Now()), discovery_.revision(),
                 coordination::EndpointListLeader::Handlers{
@@ -90,7 +90,7 @@
   times.lease.term = peers_->lease_term;
   times.lease.retry_interval = 2 * peers_->heartbeat_interval;
   times.evaluator = peers_->zone_health;
-  times.again = 2 * peers_->heartbeat_interval;
+  times.proposal_retry_interval = 2 * peers_->heartbeat_interval;
   zones_.emplace(static_cast<int>(peers_->self), static_cast<int>(peers_->peers.size()), times, core::Now(),
                  static_cast<coordination::FencingToken>(core::Now()),
                  coordination::ZoneStateCoordinator::Handlers{
--- a/src/coordination/endpoint_list_leader.cpp
+++ b/src/coordination/endpoint_list_leader.cpp
@@ -15,7 +15,7 @@
       handlers_(std::move(handlers)),
       lease_(self, gateways, times.lease, now, least),
       revision_(revision),
-      fresh_at_(now - times.stale),
+      fresh_at_(now - times.leader_timeout),
       listens_from_(now + times.lease.term) {}
 
 void EndpointListLeader::Post(const std::vector<Lease::Envelope>& letters) {
@@ -37,7 +37,7 @@
 
 // Whoever has the duty asks discovery; the others do while nobody seems to, as if there were no peers.
 void EndpointListLeader::Decide(Millis now) {
-  const bool watches_discovery = lease_.IsHeld(now) || now - fresh_at_ >= times_.stale;
+  const bool watches_discovery = lease_.IsHeld(now) || now - fresh_at_ >= times_.leader_timeout;
   if (watches_discovery != std::exchange(watches_, watches_discovery)) handlers_.watch(watches_discovery);
 }
 
@@ -131,7 +131,7 @@
 void EndpointListLeader::OnDiscoveryReplaced(Millis now) {
   revision_.reset();
   parts_.clear();
-  fresh_at_ = now - times_.stale;
+  fresh_at_ = now - times_.leader_timeout;
   listens_from_ = now + times_.refuses;
   lease_.Release(now + times_.refuses);
   watches_ = true;  // the new one is asked already
--- a/src/coordination/endpoint_list_leader.hpp
+++ b/src/coordination/endpoint_list_leader.hpp
@@ -24,7 +24,7 @@
   };
   struct Times {
     Lease::Times lease;
-    Millis stale = 2000;  // without a word from whoever has the duty each asks for itself
+    Millis leader_timeout = 2000;  // without a word from whoever has the duty each asks for itself
     Millis refuses =
         5000;  // one whose discovery failed, or is another, leaves the duty to others for so long
   };
--- a/src/coordination/zone_health_evaluator.cpp
+++ b/src/coordination/zone_health_evaluator.cpp
@@ -38,7 +38,7 @@
   for (const auto& [gateway, seen] : observations_) {
     // Whoever can't be heard for now still has its clients, who come along when it is heard again.
     if (now - seen.at < kDemandMemory) all[seen.sights.zone].demand += seen.sights.arrival_rate;
-    if (now - seen.at >= times_.fresh) continue;
+    if (now - seen.at >= times_.max_report_age) continue;
     for (const ZoneLoad& z : seen.sights.zones) {
       Now& zone = all[z.zone];
       zone.size = std::max(zone.size, z.capacity);
@@ -71,8 +71,9 @@
 // than its servers seem good for: slow ones are as many as ever.
 double ZoneHealthEvaluator::Target(Millis now, const Now& seen, double level) const {
   const double fit = seen.fit < kFailed ? 0 : seen.fit;
-  if (seen.good >= kGood || now - shifted_at_ < times_.settles) return Rounded(fit);
-  return Rounded(std::min(fit, std::min(1.0, times_.spare * level) * seen.good / times_.spare));
+  if (seen.good >= kGood || now - shifted_at_ < times_.settling_time) return Rounded(fit);
+  return Rounded(std::min(fit, std::min(1.0, times_.overprovisioning_factor * level) * seen.good /
+                                   times_.overprovisioning_factor));
 }
 
 double ZoneHealthEvaluator::Next(Millis now, Zone& zone, double level, double target) const {
@@ -82,9 +83,9 @@
   if (!high) zone.high_since = 0;
   if (low && zone.low_since == 0) zone.low_since = now;
   if (high && zone.high_since == 0) zone.high_since = now;
-  if (low && now - zone.low_since >= times_.falls) return target;
-  const bool tried = now - shifted_at_ >= times_.settles;  // what the last step came to is known
-  if (high && tried && now - zone.high_since >= times_.rises && now >= zone.held_until)
+  if (low && now - zone.low_since >= times_.decrease_delay) return target;
+  const bool tried = now - shifted_at_ >= times_.settling_time;  // what the last step came to is known
+  if (high && tried && now - zone.high_since >= times_.increase_delay && now >= zone.held_until)
     return std::min(target, Rounded(level + kRise));
   return level;
 }
@@ -92,7 +93,7 @@
 std::optional<std::vector<ZoneAgreement::Zone>> ZoneHealthEvaluator::Evaluate(
     Millis now, const std::vector<ZoneAgreement::Zone>& agreed) {
   const auto fresh = std::count_if(observations_.begin(), observations_.end(),
-                                   [&](const auto& s) { return now - s.second.at < times_.fresh; });
+                                   [&](const auto& s) { return now - s.second.at < times_.max_report_age; });
   if (2 * fresh <= gateways_) return std::nullopt;
   auto all = Look(now);
   bool changed = false, moved = false;
@@ -132,10 +133,11 @@
       continue;
     }
     // Once more after it had come back: each time it is left alone for longer.
-    zone.hold = zone.rose ? std::min(std::max(2 * zone.hold, times_.hold), times_.most_hold)
-                          : std::max(zone.hold, times_.hold);
+    zone.hold_down = zone.rose
+                         ? std::min(std::max(2 * zone.hold_down, times_.hold_down), times_.max_hold_down)
+                         : std::max(zone.hold_down, times_.hold_down);
     zone.rose = false;
-    zone.held_until = now + zone.hold;
+    zone.held_until = now + zone.hold_down;
   }
 }
 
--- a/src/coordination/zone_health_evaluator.hpp
+++ b/src/coordination/zone_health_evaluator.hpp
@@ -15,13 +15,13 @@
 class ZoneHealthEvaluator {
  public:
   struct Times {
-    Millis fresh = 1000;        // what was seen longer ago does not count
-    Millis falls = 300;         // a zone has to look worse for so long
-    Millis rises = 2000;        // and better for so long, for each step
-    Millis settles = 2000;      // after a change attempts tell of the time before
-    double spare = 1.4;         // as in Locality
-    Millis hold = 5000;         // after a fall; doubles where it fell again after a rise
-    Millis most_hold = 300000;  // and is at most
+    Millis max_report_age = 1000;          // what was seen longer ago does not count
+    Millis decrease_delay = 300;           // a zone has to look worse for so long
+    Millis increase_delay = 2000;          // and better for so long, for each step
+    Millis settling_time = 2000;           // after a change attempts tell of the time before
+    double overprovisioning_factor = 1.4;  // as in Locality
+    Millis hold_down = 5000;               // after a fall; doubles where it fell again after a rise
+    Millis max_hold_down = 300000;         // and is at most
   };
   ZoneHealthEvaluator(int gateways, Times times) : gateways_(gateways), times_(times) {}
 
@@ -43,7 +43,7 @@
     double size = 0;  // with all its servers: the most that was seen, slowly forgotten
     Millis sized_at = 0;
     Millis low_since = 0, high_since = 0;  // 0: is not
-    Millis held_until = 0, hold = 0;
+    Millis held_until = 0, hold_down = 0;
     bool rose = false;  // since its last fall
   };
   struct Now {
--- a/src/coordination/zone_state_coordinator.cpp
+++ b/src/coordination/zone_state_coordinator.cpp
@@ -36,7 +36,7 @@
   acted_ = std::max(acted_, lease_.token());
   if (!offer_) {
     if (auto zones = evaluator_.Evaluate(now, agreed_.zones)) Offer(now, std::move(*zones));
-  } else if (now - offered_at_ >= times_.again) {
+  } else if (now - offered_at_ >= times_.proposal_retry_interval) {
     Offer(now, std::move(offer_->zones));
   }
   if (agreed_.term > 0)
--- a/src/coordination/zone_state_coordinator.hpp
+++ b/src/coordination/zone_state_coordinator.hpp
@@ -26,7 +26,7 @@
   struct Times {
     Lease::Times lease;
     ZoneHealthEvaluator::Times evaluator;
-    Millis again = 400;  // from an offer without enough votes to the next
+    Millis proposal_retry_interval = 400;  // from an offer without enough votes to the next
   };
   ZoneStateCoordinator(int self, int gateways, Times times, Millis now, FencingToken least,
                        Handlers handlers);
--- a/src/membership/peers_config.cpp
+++ b/src/membership/peers_config.cpp
@@ -83,9 +83,10 @@
   routing.overprovisioning = table.ReadNumber("spare", routing.overprovisioning, {.min = 1, .max = 100});
   routing.panic_threshold = table.ReadNumber("panic", routing.panic_threshold, {.min = 0, .max = 1});
   routing.max_overflow = table.ReadNumber("most_extra", routing.max_overflow, {.min = 0, .max = 100});
-  config.zone_health.hold = table.ReadNumber("hold_ms", config.zone_health.hold, {.min = 100, .max = 300000});
-  config.zone_health.fresh = config.suspect_timeout;
-  config.zone_health.spare = routing.overprovisioning;
+  config.zone_health.hold_down =
+      table.ReadNumber("hold_ms", config.zone_health.hold_down, {.min = 100, .max = 300000});
+  config.zone_health.max_report_age = config.suspect_timeout;
+  config.zone_health.overprovisioning_factor = routing.overprovisioning;
   table.Finish();
 }
 
--- a/tests/coordination/characterization_test.cpp
+++ b/tests/coordination/characterization_test.cpp
@@ -166,7 +166,7 @@
         network_(random_.Between(0, 0.15), 0.03),
         lists_(At(size_)) {
     times_.lease = {random_.Between(500, 1500), 0.02, random_.Between(20, 100)};
-    times_.stale = random_.Between(300, 1000);
+    times_.leader_timeout = random_.Between(300, 1000);
     times_.refuses = random_.Between(500, 2000);
     for (int g = 0; g < size_; ++g) Start(g);
   }
@@ -367,10 +367,10 @@
         clocks_(size_, random_),
         network_(random_.Between(0, 0.15), 0.03) {
     times_.lease = {random_.Between(400, 1200), 0.02, random_.Between(20, 100)};
-    times_.evaluator.hold = random_.Between(500, 2000);
-    times_.evaluator.rises = random_.Between(300, 2000);
-    times_.evaluator.settles = random_.Between(300, 2000);
-    times_.again = random_.Between(100, 400);
+    times_.evaluator.hold_down = random_.Between(500, 2000);
+    times_.evaluator.increase_delay = random_.Between(300, 2000);
+    times_.evaluator.settling_time = random_.Between(300, 2000);
+    times_.proposal_retry_interval = random_.Between(100, 400);
     for (int g = 0; g < size_; ++g) Start(g);
   }
 
@@ -492,12 +492,12 @@
  private:
   static ZoneHealthEvaluator::Times DrawTimes(SplitMix64& random) {
     ZoneHealthEvaluator::Times times;
-    times.falls = random.Between(100, 600);
-    times.rises = random.Between(300, 3000);
-    times.settles = random.Between(300, 3000);
-    times.spare = random.Between(1, 2);
-    times.hold = random.Between(300, 5000);
-    times.most_hold = 20 * times.hold;
+    times.decrease_delay = random.Between(100, 600);
+    times.increase_delay = random.Between(300, 3000);
+    times.settling_time = random.Between(300, 3000);
+    times.overprovisioning_factor = random.Between(1, 2);
+    times.hold_down = random.Between(300, 5000);
+    times.max_hold_down = 20 * times.hold_down;
     return times;
   }
 
--- a/tests/coordination/zone_test.cpp
+++ b/tests/coordination/zone_test.cpp
@@ -282,7 +282,7 @@
   void Start(int g) {
     ZoneStateCoordinator::Times times;
     times.lease = {800, 0.02, 100};
-    times.evaluator.hold = 1500;
+    times.evaluator.hold_down = 1500;
     known[At(g)] = {};
     duties[At(g)] = std::make_unique<ZoneStateCoordinator>(
         g, n, times, Clock(g), 1000 + static_cast<FencingToken>(now),
--- a/tests/membership/fixture_test.cpp
+++ b/tests/membership/fixture_test.cpp
@@ -246,8 +246,9 @@
       << " " << routing.max_overflow << "\n";
   for (const auto& [zone, region] : routing.regions) out << "region " << zone << " " << region << "\n";
   const coordination::ZoneHealthEvaluator::Times& health = config.zone_health;
-  out << "zones " << health.fresh << " " << health.falls << " " << health.rises << " " << health.settles
-      << " " << health.spare << " " << health.hold << " " << health.most_hold << "\n";
+  out << "zones " << health.max_report_age << " " << health.decrease_delay << " " << health.increase_delay
+      << " " << health.settling_time << " " << health.overprovisioning_factor << " " << health.hold_down
+      << " " << health.max_hold_down << "\n";
   return out.str();
 }
 
