--- a/src/coordination/zone_health_evaluator.cpp
+++ b/src/coordination/zone_health_evaluator.cpp
@@ -8,136 +8,153 @@
 namespace meadowyard::coordination {
 namespace {
 
-constexpr double kStep = 0.1;            // levels are whole multiples of it
-constexpr double kFall = 0.2;            // a level falls by so much at the least, or to nothing
-constexpr double kRise = 0.3;            // and rises by so much at the most
-constexpr double kGood = 0.9;            // share of good answers that leaves nothing to wish for
-constexpr double kFailed = 0.3;          // share of its servers below which a zone counts as failed
-constexpr double kEnough = 3;            // attempts that have to have ended for their share to tell anything
-constexpr Millis kSizeMemory = 600000;   // over which servers that are there no more are forgotten
-constexpr double kDemandMoves = 0.3;     // share by which demand has to differ to be agreed anew
-constexpr Millis kDemandEvery = 5000;    // and the time from one such change to the next
-constexpr Millis kDemandMemory = 60000;  // that a gateway's counts for after its last word
-constexpr double kLittle = 1;            // request a second
+constexpr double kLevelStep = 0.1;          // health levels are integer multiples of this
+constexpr double kMinDecrease = 0.2;        // smaller decreases are ignored, except a decrease to 0
+constexpr double kMaxIncrease = 0.3;        // per step
+constexpr double kMinTimelyShare = 0.9;     // below this share of timely attempts a zone counts as overloaded
+constexpr double kFailedBelowHealth = 0.3;  // a zone with a smaller share of its capacity counts as failed
+constexpr double kMinAttempts = 3;          // the timely share of fewer completed attempts is not significant
+constexpr Millis kCapacityDecayTime = 600000;      // time constant; removed endpoints are forgotten with it
+constexpr double kMinRelativeDemandChange = 0.3;   // a smaller change of demand alone is not proposed
+constexpr Millis kMinDemandUpdateInterval = 5000;  // between proposals that change demand alone
+constexpr Millis kDemandRetention = 60000;  // a gateway's demand counts for this long after its last report
+constexpr double kMinDemandChange = 1;      // requests per second, in addition to the relative change
 
-double Rounded(double health) { return std::round(std::clamp(health, 0.0, 1.0) / kStep) * kStep; }
+// Limits a health to 0..1 and rounds it to a multiple of kLevelStep.
+double RoundToStep(double health) {
+  return std::round(std::clamp(health, 0.0, 1.0) / kLevelStep) * kLevelStep;
+}
 
 }  // namespace
 
-void ZoneHealthEvaluator::OnLoadReport(Millis now, int gateway, const ZoneLoadReport& sights) {
-  observations_[gateway] = {now, sights};
+void ZoneHealthEvaluator::OnLoadReport(Millis now, int gateway, const ZoneLoadReport& report) {
+  reports_[gateway] = {now, report};
 }
 
-std::map<std::string, ZoneHealthEvaluator::Now> ZoneHealthEvaluator::Look(Millis now) {
+std::map<std::string, ZoneHealthEvaluator::Aggregate> ZoneHealthEvaluator::AggregateReports(Millis now) {
   struct Sum {
-    double fit = 0, ended = 0, good = 0;
-    int from = 0;
+    double healthy = 0, attempts = 0, timely = 0;
+    int reporters = 0;
   };
-  std::map<std::string, Sum> near, far;  // as those see it that stand there, and all others that go there
-  std::map<std::string, Now> all;
-  for (const auto& [gateway, seen] : observations_) {
-    // Whoever can't be heard for now still has its clients, who come along when it is heard again.
-    if (now - seen.at < kDemandMemory) all[seen.sights.zone].demand += seen.sights.arrival_rate;
-    if (now - seen.at >= times_.max_report_age) continue;
-    for (const ZoneLoad& z : seen.sights.zones) {
-      Now& zone = all[z.zone];
-      zone.size = std::max(zone.size, z.capacity);
-      const bool own = z.zone == seen.sights.zone;
-      if (!own && z.completed < kEnough) continue;
-      Sum& sum = (own ? near : far)[z.zone];
-      sum.fit += z.available, sum.ended += z.completed, sum.good += z.within_objective, ++sum.from;
+  std::map<std::string, Sum> local, remote;  // as reported by the gateways in the zone, and by all others
+  std::map<std::string, Aggregate> aggregates;
+  for (const auto& [gateway, observed] : reports_) {
+    // A gateway that is out of contact for the moment still has its clients: their demand returns when
+    // contact does.
+    if (now - observed.received_at < kDemandRetention)
+      aggregates[observed.report.zone].demand += observed.report.arrival_rate;
+    if (now - observed.received_at >= times_.max_report_age) continue;
+    for (const ZoneLoad& entry : observed.report.zones) {
+      Aggregate& zone = aggregates[entry.zone];
+      zone.full_capacity = std::max(zone.full_capacity, entry.capacity);
+      const bool own = entry.zone == observed.report.zone;
+      if (!own && entry.completed < kMinAttempts) continue;
+      Sum& sum = (own ? local : remote)[entry.zone];
+      sum.healthy += entry.available, sum.attempts += entry.completed, sum.timely += entry.within_objective,
+          ++sum.reporters;
     }
   }
-  for (const auto& [name, known] : zones_) all[name];  // those that nobody sees any more, too
-  for (auto& [name, zone] : all) {
-    Zone& known = zones_[name];
-    known.size = std::max(zone.size, known.size * std::exp((known.sized_at - now) / kSizeMemory));
-    known.sized_at = now;
-    const Sum sum = near.contains(name) ? near[name] : far[name];
-    if (zone.size <= 0) {
-      zone.fit = 0;  // all of its servers have left the list
-    } else if (sum.from == 0) {
-      zone.fit = 1;  // nobody knows better; if it is not, whoever goes there will see
+  for (const auto& [name, history] : histories_) aggregates[name];  // also zones that are no longer reported
+  for (auto& [name, zone] : aggregates) {
+    ZoneHistory& history = histories_[name];
+    history.full_capacity =
+        std::max(zone.full_capacity,
+                 history.full_capacity * std::exp((history.capacity_updated_at - now) / kCapacityDecayTime));
+    history.capacity_updated_at = now;
+    const Sum sum = local.contains(name) ? local[name] : remote[name];
+    if (zone.full_capacity <= 0) {
+      zone.healthy = 0;  // all of its endpoints have left the list
+    } else if (sum.reporters == 0) {
+      zone.healthy = 1;  // no evidence of a failure; gateways that send requests there will report one
     } else {
-      zone.fit = sum.fit / sum.from / known.size;
-      if (sum.ended >= kEnough) zone.good = sum.good / sum.ended;
+      zone.healthy = sum.healthy / sum.reporters / history.full_capacity;
+      if (sum.attempts >= kMinAttempts) zone.timely = sum.timely / sum.attempts;
     }
-    zone.size = known.size;
+    zone.full_capacity = history.full_capacity;
   }
-  return all;
+  return aggregates;
 }
 
-// What is not served well of what comes to a zone is beyond it. As only a share came, it may be much less
-// than its servers seem good for: slow ones are as many as ever.
-double ZoneHealthEvaluator::Target(Millis now, const Now& seen, double level) const {
-  const double fit = seen.fit < kFailed ? 0 : seen.fit;
-  if (seen.good >= kGood || now - shifted_at_ < times_.settling_time) return Rounded(fit);
-  return Rounded(std::min(fit, std::min(1.0, times_.overprovisioning_factor * level) * seen.good /
-                                   times_.overprovisioning_factor));
+// Attempts that are not timely exceed what the zone can serve. A zone at `level` receives `level` times the
+// overprovisioning factor of its traffic, at most all of it. The timely share of that, divided by the factor,
+// is the health that it can sustain. This can be far below the share of its available endpoints: slow
+// endpoints still count as available.
+double ZoneHealthEvaluator::TargetLevel(Millis now, const Aggregate& observed, double level) const {
+  const double healthy = observed.healthy < kFailedBelowHealth ? 0 : observed.healthy;
+  if (observed.timely >= kMinTimelyShare || now - health_changed_at_ < times_.settling_time)
+    return RoundToStep(healthy);
+  return RoundToStep(std::min(healthy, std::min(1.0, times_.overprovisioning_factor * level) *
+                                           observed.timely / times_.overprovisioning_factor));
 }
 
-double ZoneHealthEvaluator::Next(Millis now, Zone& zone, double level, double target) const {
-  const bool low = target < level && (target <= level - kFall + kStep / 2 || target <= 0);
-  const bool high = target > level;
-  if (!low) zone.low_since = 0;
-  if (!high) zone.high_since = 0;
-  if (low && zone.low_since == 0) zone.low_since = now;
-  if (high && zone.high_since == 0) zone.high_since = now;
-  if (low && now - zone.low_since >= times_.decrease_delay) return target;
-  const bool tried = now - shifted_at_ >= times_.settling_time;  // what the last step came to is known
-  if (high && tried && now - zone.high_since >= times_.increase_delay && now >= zone.held_until)
-    return std::min(target, Rounded(level + kRise));
+double ZoneHealthEvaluator::NextLevel(Millis now, ZoneHistory& zone, double level, double target) const {
+  const bool decrease_wanted =
+      target < level && (target <= level - kMinDecrease + kLevelStep / 2 || target <= 0);
+  const bool increase_wanted = target > level;
+  if (!decrease_wanted) zone.decrease_wanted_since = 0;
+  if (!increase_wanted) zone.increase_wanted_since = 0;
+  if (decrease_wanted && zone.decrease_wanted_since == 0) zone.decrease_wanted_since = now;
+  if (increase_wanted && zone.increase_wanted_since == 0) zone.increase_wanted_since = now;
+  if (decrease_wanted && now - zone.decrease_wanted_since >= times_.decrease_delay) return target;
+  // The effect of the last step is visible by then.
+  const bool settled = now - health_changed_at_ >= times_.settling_time;
+  if (increase_wanted && settled && now - zone.increase_wanted_since >= times_.increase_delay &&
+      now >= zone.hold_down_until)
+    return std::min(target, RoundToStep(level + kMaxIncrease));
   return level;
 }
 
 std::optional<std::vector<ZoneAgreement::Zone>> ZoneHealthEvaluator::Evaluate(
     Millis now, const std::vector<ZoneAgreement::Zone>& agreed) {
-  const auto fresh = std::count_if(observations_.begin(), observations_.end(),
-                                   [&](const auto& s) { return now - s.second.at < times_.max_report_age; });
-  if (2 * fresh <= gateways_) return std::nullopt;
-  auto all = Look(now);
-  bool changed = false, moved = false;
-  std::vector<ZoneAgreement::Zone> next = agreed;
-  for (ZoneAgreement::Zone& z : next) {
-    const Now& seen = all[z.name];
-    Zone& zone = zones_[z.name];
-    const double level = Next(now, zone, z.health, Target(now, seen, z.health));
-    changed = changed || level != z.health;
-    z.health = level, z.capacity = seen.size;
-    moved =
-        moved || std::abs(seen.demand - z.demand) > kDemandMoves * std::max(seen.demand, z.demand) + kLittle;
-    z.demand = seen.demand;
-    all.erase(z.name);
+  const auto recent_reports = std::count_if(reports_.begin(), reports_.end(), [&](const auto& stored) {
+    return now - stored.second.received_at < times_.max_report_age;
+  });
+  if (2 * recent_reports <= gateways_) return std::nullopt;
+  auto aggregates = AggregateReports(now);
+  bool changed = false, demand_changed = false;
+  std::vector<ZoneAgreement::Zone> proposal = agreed;
+  for (ZoneAgreement::Zone& entry : proposal) {
+    const Aggregate& observed = aggregates[entry.name];
+    ZoneHistory& zone = histories_[entry.name];
+    const double level = NextLevel(now, zone, entry.health, TargetLevel(now, observed, entry.health));
+    changed = changed || level != entry.health;
+    entry.health = level, entry.capacity = observed.full_capacity;
+    demand_changed =
+        demand_changed ||
+        std::abs(observed.demand - entry.demand) >
+            kMinRelativeDemandChange * std::max(observed.demand, entry.demand) + kMinDemandChange;
+    entry.demand = observed.demand;
+    aggregates.erase(entry.name);
   }
-  for (const auto& [name, seen] : all) {
-    if (next.size() >= kMaxZones) break;
+  for (const auto& [name, observed] : aggregates) {
+    if (proposal.size() >= kMaxZones) break;
     changed = true;
-    next.push_back({name, Target(now, seen, 1), seen.size, seen.demand});
+    proposal.push_back({name, TargetLevel(now, observed, 1), observed.full_capacity, observed.demand});
   }
-  if (!changed && (!moved || now - changed_at_ < kDemandEvery)) return std::nullopt;
-  return next;
+  if (!changed && (!demand_changed || now - agreed_at_ < kMinDemandUpdateInterval)) return std::nullopt;
+  return proposal;
 }
 
 void ZoneHealthEvaluator::OnAgreement(Millis now, const std::vector<ZoneAgreement::Zone>& before,
                                       const std::vector<ZoneAgreement::Zone>& after) {
-  changed_at_ = now;
-  for (const ZoneAgreement::Zone& z : after) {
-    const auto old =
-        std::find_if(before.begin(), before.end(), [&](const auto& b) { return b.name == z.name; });
-    if (old == before.end() || old->health == z.health) continue;
-    Zone& zone = zones_[z.name];
-    zone.low_since = zone.high_since = 0;
-    shifted_at_ = now;
-    if (z.health > old->health) {
-      zone.rose = true;
+  agreed_at_ = now;
+  for (const ZoneAgreement::Zone& entry : after) {
+    const auto previous = std::find_if(before.begin(), before.end(),
+                                       [&](const auto& candidate) { return candidate.name == entry.name; });
+    if (previous == before.end() || previous->health == entry.health) continue;
+    ZoneHistory& zone = histories_[entry.name];
+    zone.decrease_wanted_since = zone.increase_wanted_since = 0;
+    health_changed_at_ = now;
+    if (entry.health > previous->health) {
+      zone.increased_since_decrease = true;
       continue;
     }
-    // Once more after it had come back: each time it is left alone for longer.
-    zone.hold_down = zone.rose
+    // A decrease after an increase: the increase failed, so the next one waits twice as long.
+    zone.hold_down = zone.increased_since_decrease
                          ? std::min(std::max(2 * zone.hold_down, times_.hold_down), times_.max_hold_down)
                          : std::max(zone.hold_down, times_.hold_down);
-    zone.rose = false;
-    zone.held_until = now + zone.hold_down;
+    zone.increased_since_decrease = false;
+    zone.hold_down_until = now + zone.hold_down;
   }
 }
 
--- a/src/coordination/zone_health_evaluator.hpp
+++ b/src/coordination/zone_health_evaluator.hpp
@@ -1,5 +1,7 @@
-// What a fleet's gateways see of the zones, put together, and when that is reason to change what was agreed:
-// a fall soon, a rise slowly and in steps, and the more slowly the more often it was in vain. No I/O.
+/// @file
+/// Aggregates the zone load reports of all gateways and decides when they justify a change of the agreed zone
+/// state. Health is decreased quickly and increased slowly, in steps. Each time it has to be decreased again
+/// after an increase, the hold-down time before the next increase doubles. No I/O.
 #ifndef MEADOWYARD_COORDINATION_ZONE_HEALTH_EVALUATOR_HPP_
 #define MEADOWYARD_COORDINATION_ZONE_HEALTH_EVALUATOR_HPP_
 
@@ -12,53 +14,64 @@
 
 namespace meadowyard::coordination {
 
+/// Proposes health, capacity and demand of each zone. Used by the lease holder of the zone state.
 class ZoneHealthEvaluator {
  public:
   struct Times {
-    Millis max_report_age = 1000;          // what was seen longer ago does not count
-    Millis decrease_delay = 300;           // a zone has to look worse for so long
-    Millis increase_delay = 2000;          // and better for so long, for each step
-    Millis settling_time = 2000;           // after a change attempts tell of the time before
-    double overprovisioning_factor = 1.4;  // as in Locality
-    Millis hold_down = 5000;               // after a fall; doubles where it fell again after a rise
-    Millis max_hold_down = 300000;         // and is at most
+    Millis max_report_age = 1000;  ///< Older load reports are ignored.
+    Millis decrease_delay = 300;   ///< A zone has to look worse for this long before a decrease.
+    Millis increase_delay = 2000;  ///< It has to look better for this long before each step of an increase.
+    Millis settling_time = 2000;   ///< After a change of health, attempts still reflect the state before it.
+    double overprovisioning_factor = 1.4;  ///< See ZoneRoutingSettings::overprovisioning.
+    Millis hold_down = 5000;  ///< No increase for this long after a decrease; doubles if an increase failed.
+    Millis max_hold_down = 300000;  ///< Upper bound of the doubled hold-down time.
   };
+  /// `gateways` is the number of all configured gateways.
   ZoneHealthEvaluator(int gateways, Times times) : gateways_(gateways), times_(times) {}
 
-  void OnLoadReport(Millis now, int gateway, const ZoneLoadReport& sights);
-  // What is in force changes: rests begin anew from there.
+  /// Stores the latest report of a gateway, which is given by its index.
+  void OnLoadReport(Millis now, int gateway, const ZoneLoadReport& report);
+  /// To be called when the agreed state changes. Restarts the delays of each zone whose health changed, and
+  /// the hold-down time of each whose health decreased.
   void OnAgreement(Millis now, const std::vector<ZoneAgreement::Zone>& before,
                    const std::vector<ZoneAgreement::Zone>& after);
-  // What should be agreed in place of `agreed`, or nothing. To be asked again and again by whoever may
-  // propose.
+  /// The zones to propose in place of `agreed`; nothing if no change is due, or if no more than half of the
+  /// gateways have reported recently. To be called periodically by the lease holder.
   std::optional<std::vector<ZoneAgreement::Zone>> Evaluate(Millis now,
                                                            const std::vector<ZoneAgreement::Zone>& agreed);
 
  private:
-  struct Observation {
-    Millis at = 0;
-    ZoneLoadReport sights;
+  struct ReceivedReport {
+    Millis received_at = 0;
+    ZoneLoadReport report;
   };
-  struct Zone {
-    double size = 0;  // with all its servers: the most that was seen, slowly forgotten
-    Millis sized_at = 0;
-    Millis low_since = 0, high_since = 0;  // 0: is not
-    Millis held_until = 0, hold_down = 0;
-    bool rose = false;  // since its last fall
+  // State kept for each zone.
+  struct ZoneHistory {
+    double full_capacity = 0;  // weight of all its endpoints: maximum reported, with exponential decay
+    Millis capacity_updated_at = 0;
+    Millis decrease_wanted_since = 0, increase_wanted_since = 0;  // 0: not wanted
+    Millis hold_down_until = 0, hold_down = 0;
+    bool increased_since_decrease = false;  // whether health was increased since its last decrease
   };
-  struct Now {
-    double fit = 0, size = 0, demand = 0;
-    double good = 1;  // share of what came to it
+  // What the recent reports say of one zone, taken together.
+  struct Aggregate {
+    // Share of the full capacity that is available; weight of all endpoints; requests per second.
+    double healthy = 0, full_capacity = 0, demand = 0;
+    double timely = 1;  // share of its attempts that met their latency objective
   };
-  std::map<std::string, Now> Look(Millis now);
-  double Target(Millis now, const Now& seen, double level) const;
-  double Next(Millis now, Zone& zone, double level, double target) const;
+  // By zone; includes zones that are no longer reported.
+  std::map<std::string, Aggregate> AggregateReports(Millis now);
+  // The health that the observations justify where `level` is agreed.
+  double TargetLevel(Millis now, const Aggregate& observed, double level) const;
+  // The health to propose now: `level`, or a step towards `target` once the delays have passed.
+  double NextLevel(Millis now, ZoneHistory& zone, double level, double target) const;
 
   const int gateways_;
   const Times times_;
-  std::map<int, Observation> observations_;  // by gateway
-  std::map<std::string, Zone> zones_;
-  Millis changed_at_ = 0, shifted_at_ = 0;  // anything that is agreed; some zone's health, and so traffic
+  std::map<int, ReceivedReport> reports_;  // by gateway
+  std::map<std::string, ZoneHistory> histories_;
+  // Last change of the agreement; last change of any zone's health, which redistributes traffic.
+  Millis agreed_at_ = 0, health_changed_at_ = 0;
 };
 
 }  // namespace meadowyard::coordination
