--- a/src/coordination/lease.cpp
+++ b/src/coordination/lease.cpp
@@ -5,26 +5,26 @@
 namespace meadowyard::coordination {
 namespace {
 
-constexpr FencingToken kGateways = 256;  // the last digits of a token say whose it is
+constexpr FencingToken kMaxGateways = 256;  // tokens are round * 256 + proposer's index
 constexpr Millis kNeverHeld = -1e15;
-constexpr double kSpread = 4;  // times the retry_interval, that attempts after one that failed are drawn from
+constexpr double kMaxRetryJitter = 4;  // in retry intervals: random extra delay before a round, at most
 
 }  // namespace
 
-Lease::Lease(int self, int gateways, Times times, Millis now, FencingToken least)
+Lease::Lease(int self, int gateways, Times times, Millis now, FencingToken initial_round)
     : self_(self),
       gateways_(gateways),
       times_(times),
       recovery_until_(now + times.term * (1 + times.max_clock_drift)),
-      highest_(least * kGateways) {}
+      highest_token_(initial_round * kMaxGateways) {}
 
-void Lease::ObserveToken(FencingToken token) { highest_ = std::max(highest_, token); }
+void Lease::ObserveToken(FencingToken token) { highest_token_ = std::max(highest_token_, token); }
 
 void Lease::Release(Millis until) {
   held_until_ = kNeverHeld;
-  attempt_ = Attempt::kNone;
-  next_ = std::max(next_, until);
-  // What it granted to itself stays: the others count the term, too.
+  phase_ = Phase::kIdle;
+  next_round_at_ = std::max(next_round_at_, until);
+  // The grant to itself stays in force until it expires, as the other acceptors' grants do.
 }
 
 void Lease::Send(int to, const Message& message, Millis now, std::vector<Envelope>& out) {
@@ -32,30 +32,32 @@
   OnMessage(now, self_, message, out);
 }
 
-void Lease::ToAll(const Message& message, Millis now, std::vector<Envelope>& out) {
-  for (int g = 0; g < gateways_; ++g) {
-    if (g != self_) Send(g, message, now, out);
+void Lease::Broadcast(const Message& message, Millis now, std::vector<Envelope>& out) {
+  for (int gateway = 0; gateway < gateways_; ++gateway) {
+    if (gateway != self_) Send(gateway, message, now, out);
   }
-  Send(self_, message, now, out);  // last: its answer may be the one that decides
+  Send(self_, message, now, out);  // last: its own response may complete the majority
 }
 
-void Lease::Tick(Millis now, double chance, std::vector<Envelope>& out) {
-  if (now < next_) return;
-  const bool renews = IsHeld(now) && held_until_ - now < times_.term / 2;
-  const bool granted = now < granted_until_ && granted_to_ != self_;  // to another
-  const bool free = !IsHeld(now) && !granted && now >= recovery_until_;
-  if (renews || free) Begin(now, chance, out);
+void Lease::Tick(Millis now, double jitter, std::vector<Envelope>& out) {
+  if (now < next_round_at_) return;
+  const bool renewal_due = IsHeld(now) && held_until_ - now < times_.term / 2;
+  const bool granted_to_other = now < granted_until_ && granted_to_ != self_;  // by this acceptor
+  const bool available = !IsHeld(now) && !granted_to_other && now >= recovery_until_;
+  if (renewal_due || available) StartRound(now, jitter, out);
 }
 
-void Lease::Begin(Millis now, double chance, std::vector<Envelope>& out) {
-  // Who holds it has nobody to collide with. Others ask at beats that may keep in step: the spread covers
-  // several.
-  next_ = now + times_.retry_interval * (IsHeld(now) ? 1 : 1 + kSpread * chance);
-  highest_ = asked_ = (highest_ / kGateways + 1) * kGateways + static_cast<FencingToken>(self_);
-  attempt_ = Attempt::kPreparing;
-  open_.clear();
-  taken_.clear();
-  ToAll({Message::Type::kPrepareRequest, asked_, 0, -1}, now, out);
+void Lease::StartRound(Millis now, double jitter, std::vector<Envelope>& out) {
+  // A renewal does not compete with other proposers and needs no jitter. Other gateways call Tick at each
+  // heartbeat, and equal heartbeat intervals would make their rounds collide again and again: the jitter
+  // spreads rounds over several intervals.
+  next_round_at_ = now + times_.retry_interval * (IsHeld(now) ? 1 : 1 + kMaxRetryJitter * jitter);
+  highest_token_ = round_token_ =
+      (highest_token_ / kMaxGateways + 1) * kMaxGateways + static_cast<FencingToken>(self_);
+  phase_ = Phase::kPreparing;
+  promised_by_.clear();
+  accepted_by_.clear();
+  Broadcast({Message::Type::kPrepareRequest, round_token_, 0, -1}, now, out);
 }
 
 void Lease::OnMessage(Millis now, int from, const Message& message, std::vector<Envelope>& out) {
@@ -65,9 +67,9 @@
     case Type::kPrepareRequest:
     case Type::kProposeRequest:
       if (now < recovery_until_) return;
-      if (message.token < promised_)
-        return Send(from, {Type::kReject, message.token, promised_, -1}, now, out);
-      promised_ = message.token;
+      if (message.token < promised_token_)
+        return Send(from, {Type::kReject, message.token, promised_token_, -1}, now, out);
+      promised_token_ = message.token;
       if (message.type == Type::kPrepareRequest)
         return Send(from, {Type::kPrepareResponse, message.token, 0, now < granted_until_ ? granted_to_ : -1},
                     now, out);
@@ -76,23 +78,23 @@
       granted_until_ = now + times_.term * (1 + times_.max_clock_drift);
       return Send(from, {Type::kProposeResponse, message.token, 0, from}, now, out);
     case Type::kPrepareResponse:
-      if (attempt_ != Attempt::kPreparing || message.token != asked_) return;
+      if (phase_ != Phase::kPreparing || message.token != round_token_) return;
       if (message.owner >= 0 && message.owner != self_) return;
-      open_.insert(from);
-      if (!Enough(open_)) return;
-      attempt_ = Attempt::kProposing;
-      offered_until_ = now + times_.term * (1 - times_.max_clock_drift);
-      return ToAll({Type::kProposeRequest, asked_, 0, self_}, now, out);
+      promised_by_.insert(from);
+      if (!IsMajority(promised_by_)) return;
+      phase_ = Phase::kProposing;
+      proposed_until_ = now + times_.term * (1 - times_.max_clock_drift);
+      return Broadcast({Type::kProposeRequest, round_token_, 0, self_}, now, out);
     case Type::kProposeResponse:
-      if (attempt_ != Attempt::kProposing || message.token != asked_) return;
-      taken_.insert(from);
-      if (!Enough(taken_)) return;
-      attempt_ = Attempt::kNone;
-      held_until_ = std::max(held_until_, offered_until_);
-      held_token_ = asked_;
+      if (phase_ != Phase::kProposing || message.token != round_token_) return;
+      accepted_by_.insert(from);
+      if (!IsMajority(accepted_by_)) return;
+      phase_ = Phase::kIdle;
+      held_until_ = std::max(held_until_, proposed_until_);
+      held_token_ = round_token_;
       return;
     case Type::kReject:
-      if (message.token == asked_) attempt_ = Attempt::kNone;
+      if (message.token == round_token_) phase_ = Phase::kIdle;
       return;
   }
 }
--- a/src/coordination/lease.hpp
+++ b/src/coordination/lease.hpp
@@ -1,11 +1,14 @@
-// Who of several gateways holds a duty, and until when: leases by majority without a disk, after PaxosLease
-// (Trencseni, Gazso, Reinhardt 2012). A state machine without I/O; times are milliseconds on the gateway's
-// own clock, and only spans count: clocks may be any time apart, but run alike to within `max_clock_drift`.
-//
-// Every gateway is both one that asks for the lease and one of those that are asked. Whoever was asked and
-// has granted keeps to that for a term, by its own clock; whoever is granted counts its term from before it
-// offered, and takes it for shorter. One that starts grants nothing for a term: it has forgotten what it
-// granted before.
+/// @file
+/// Leader election by a lease that a majority of the gateways grants, without stable storage, after
+/// PaxosLease (Trencseni, Gazso, Reinhardt 2012). A state machine without I/O. Times are milliseconds on the
+/// gateway's own clock. Only differences of times are used: clocks may have any offset from each other, but
+/// their rates must not deviate from real time by more than `max_clock_drift`.
+///
+/// Every gateway is both a proposer, which requests the lease, and an acceptor, which grants it. An acceptor
+/// keeps to its grant for a term by its own clock, lengthened by the drift. The proposer counts the term from
+/// before it sends the proposal, shortened by the drift, so that its lease ends before the grants do. A
+/// gateway that starts grants nothing for a term, because it has lost its state and may have granted the
+/// lease before.
 #ifndef MEADOWYARD_COORDINATION_LEASE_HPP_
 #define MEADOWYARD_COORDINATION_LEASE_HPP_
 
@@ -18,24 +21,25 @@
 
 namespace meadowyard::coordination {
 
-// Only grows: of two that held the duty the later one has the higher. Every action carries it, and whoever is
-// acted upon turns down any below the highest that it has seen.
+/// Increases from one lease holder to the next. Every message that a holder sends in its role carries its
+/// token, and receivers reject messages with a token below the highest that they have seen.
 using FencingToken = std::uint64_t;
 
+/// One gateway's proposer and acceptor of one lease.
 class Lease {
  public:
   struct Times {
     Millis term = 3000;
-    double max_clock_drift = 0.01;  // by which clocks run apart at the most
-    Millis retry_interval = 500;    // from an attempt to the next, at the least
+    double max_clock_drift = 0.01;  ///< Maximum relative deviation of a clock's rate.
+    Millis retry_interval = 500;    ///< Minimum time from one round to the next.
   };
   struct Message {
     enum class Type {
-      kPrepareRequest,   // may `token` come to hold it?
-      kPrepareResponse,  // it may, unless `owner` (-1: nobody) has it, as far as this one knows
-      kProposeRequest,   // it is to hold it
-      kProposeResponse,  // granted
-      kReject,           // `highest_promised` has been asked for already
+      kPrepareRequest,   ///< Asks for a promise to `token`.
+      kPrepareResponse,  ///< Promise; `owner` holds the lease by the sender's grants (-1: none).
+      kProposeRequest,   ///< Asks to grant the lease to the sender.
+      kProposeResponse,  ///< The lease is granted.
+      kReject,           ///< `token` is below `highest_promised`, the highest that was promised or seen.
     };
     Type type = Type::kPrepareRequest;
     FencingToken token = 0, highest_promised = 0;
@@ -43,54 +47,60 @@
 
     bool operator==(const Message&) const = default;
   };
+  /// A message and the index of the gateway that it goes to.
   struct Envelope {
     int to = 0;
     Message message;
   };
 
-  // `least`: tokens are above it; the time of day will do, for one's own of earlier lives lie below it.
-  Lease(int self, int gateways, Times times, Millis now, FencingToken least);
+  /// `self` is the index of this gateway among `gateways`. Tokens consist of a round and the proposer's
+  /// index; rounds start above `initial_round`. It has to exceed the rounds that this gateway used before a
+  /// restart; a time of day in milliseconds does.
+  Lease(int self, int gateways, Times times, Millis now, FencingToken initial_round);
 
+  /// Handles a message of the gateway `from`, and appends the messages to send to `out`.
   void OnMessage(Millis now, int from, const Message& message, std::vector<Envelope>& out);
-  // To be called now and then: asks for the lease when nobody is known to have it, and renews it. `chance`
-  // (0 to 1) spreads attempts that collide.
-  void Tick(Millis now, double chance, std::vector<Envelope>& out);
-  // Stops holding it at once, and does not ask again before `until`.
+  /// To be called periodically: requests the lease when no holder is known, and renews it. `jitter`, a random
+  /// number from 0 to 1, delays the next round so that proposers whose rounds collided do not collide again.
+  void Tick(Millis now, double jitter, std::vector<Envelope>& out);
+  /// Gives up the lease at once, and does not request it again before `until`.
   void Release(Millis until);
 
   bool IsHeld(Millis now) const { return now < held_until_; }
-  FencingToken token() const { return held_token_; }  // while it holds
+  FencingToken token() const { return held_token_; }  ///< Valid while the lease is held.
   Millis held_until() const { return held_until_; }
-  // Who holds it, as far as this one has granted; -1: nobody.
+  /// The holder by this gateway's own lease and grants; -1: none known.
   int Owner(Millis now) const { return IsHeld(now) ? self_ : now < granted_until_ ? granted_to_ : -1; }
-  void ObserveToken(FencingToken token);  // of an action, or of whoever turned one down
+  /// Notes a token that another gateway used, so that this gateway's next token is higher.
+  void ObserveToken(FencingToken token);
 
-  // All that it remembers: two that are alike here go on alike.
+  /// The complete state: leases with equal state react equally to equal calls. For tests.
   auto state() const {
-    return std::tie(recovery_until_, promised_, granted_token_, granted_to_, granted_until_, attempt_,
-                    highest_, asked_, open_, taken_, offered_until_, next_, held_until_, held_token_);
+    return std::tie(recovery_until_, promised_token_, granted_token_, granted_to_, granted_until_, phase_,
+                    highest_token_, round_token_, promised_by_, accepted_by_, proposed_until_, next_round_at_,
+                    held_until_, held_token_);
   }
 
  private:
-  void Begin(Millis now, double chance, std::vector<Envelope>& out);
+  void StartRound(Millis now, double jitter, std::vector<Envelope>& out);
   void Send(int to, const Message& message, Millis now, std::vector<Envelope>& out);
-  void ToAll(const Message& message, Millis now, std::vector<Envelope>& out);
-  bool Enough(const std::set<int>& from) const { return 2 * static_cast<int>(from.size()) > gateways_; }
+  void Broadcast(const Message& message, Millis now, std::vector<Envelope>& out);
+  bool IsMajority(const std::set<int>& from) const { return 2 * static_cast<int>(from.size()) > gateways_; }
 
   int self_, gateways_;
   Times times_;
-  // As one that is asked.
+  // Acceptor.
   Millis recovery_until_;
-  FencingToken promised_ = 0, granted_token_ = 0;
+  FencingToken promised_token_ = 0, granted_token_ = 0;
   int granted_to_ = -1;
-  Millis granted_until_ = -1e15;
-  // As one that asks.
-  enum class Attempt { kNone, kPreparing, kProposing } attempt_ = Attempt::kNone;
-  FencingToken highest_, asked_ = 0;
-  std::set<int> open_, taken_;
-  Millis offered_until_ = 0;
-  Millis next_ = -1e15;
-  Millis held_until_ = -1e15;
+  Millis granted_until_ = -1e15;  // never
+  // Proposer.
+  enum class Phase { kIdle, kPreparing, kProposing } phase_ = Phase::kIdle;
+  FencingToken highest_token_, round_token_ = 0;
+  std::set<int> promised_by_, accepted_by_;
+  Millis proposed_until_ = 0;
+  Millis next_round_at_ = -1e15;  // at once
+  Millis held_until_ = -1e15;     // never
   FencingToken held_token_ = 0;
 };
 
