--- a/src/coordination/cbor_reader.cpp
+++ b/src/coordination/cbor_reader.cpp
@@ -14,7 +14,7 @@
   json message;
   try {
     message = json::from_cbor(bytes.begin(), bytes.end(), true, false);
-  } catch (const std::exception&) {  // an announced length beyond all memory is thrown even so
+  } catch (const std::exception&) {  // thrown with exceptions off, too: a declared length exceeds the memory
     throw ProtocolError("message is not well-formed CBOR");
   }
   if (!message.is_object()) throw ProtocolError("message is not a CBOR map");
@@ -40,7 +40,7 @@
 }
 
 std::vector<CborValue> CborValue::Elements(std::size_t max_size) const {
-  if (!value_->is_array() || value_->size() > max_size) Fail("an array of limited size");
+  if (!value_->is_array() || value_->size() > max_size) Fail("an array within the size limit");
   std::vector<CborValue> elements;
   elements.reserve(value_->size());
   for (const json& element : *value_) elements.emplace_back(element, name_);
@@ -48,9 +48,9 @@
 }
 
 std::string CborValue::Text(std::size_t min_size, std::size_t max_size) const {
-  if (!value_->is_string()) Fail("a text");
+  if (!value_->is_string()) Fail("a text string");
   const auto& text = value_->get_ref<const std::string&>();
-  if (text.size() < min_size || text.size() > max_size) Fail("a text of another length");
+  if (text.size() < min_size || text.size() > max_size) Fail("a text string of a permitted length");
   return text;
 }
 
--- a/src/coordination/cbor_reader.hpp
+++ b/src/coordination/cbor_reader.hpp
@@ -1,6 +1,6 @@
 /// @file
 /// Bounds-checked reading of CBOR (RFC 8949) messages from other gateways. Every length, count and number is
-/// limited by the caller, so that no datagram makes the reader allocate or compute without bound.
+/// limited by the caller, so that no datagram can make the reader allocate memory or compute without bound.
 #ifndef MEADOWYARD_COORDINATION_CBOR_READER_HPP_
 #define MEADOWYARD_COORDINATION_CBOR_READER_HPP_
 
@@ -16,27 +16,27 @@
 namespace meadowyard::coordination {
 
 /// Decodes one message, whose outermost item has to be a map. Throws ProtocolError if it is longer than
-/// `max_size` bytes, is not well-formed, has bytes after its end, or is no map.
+/// `max_size` bytes, is not well-formed, has bytes after its end, or is not a map.
 [[nodiscard]] nlohmann::json DecodeCborMap(std::span<const std::uint8_t> bytes, std::size_t max_size);
 
-/// One value of a decoded message. It refers to the message, which has to outlive it, and to the name of the
-/// field that it belongs to, which error messages start with. Every function throws ProtocolError when the
+/// One value of a decoded message. It refers to the message, which has to outlive it. Error messages start
+/// with the name of the field that contains the value. All functions except Has throw ProtocolError if the
 /// value is missing, is of another type or exceeds a limit.
 class CborValue {
  public:
   /// `name` has to outlive this value; use a string literal.
   CborValue(const nlohmann::json& value, std::string_view name) : value_(&value), name_(name) {}
 
-  /// Whether this is a map that has `key`.
+  /// Whether this value is a map that contains `key`.
   [[nodiscard]] bool Has(std::string_view key) const;
-  /// The value at `key`, which has to outlive the result, of a map.
+  /// The value at `key` of a map. `key` has to outlive the result.
   [[nodiscard]] CborValue Field(std::string_view key) const;
-  /// An element of an array, from 0.
+  /// The element of an array at `index`, from 0.
   [[nodiscard]] CborValue Element(std::size_t index) const;
-  /// The elements of an array of at most `max_size`.
+  /// All elements of an array that has at most `max_size`.
   [[nodiscard]] std::vector<CborValue> Elements(std::size_t max_size) const;
 
-  /// A text of `min_size` to `max_size` bytes.
+  /// A text string of `min_size` to `max_size` bytes.
   [[nodiscard]] std::string Text(std::size_t min_size, std::size_t max_size) const;
   /// An integer from 0 to `max`.
   [[nodiscard]] std::uint64_t Unsigned(std::uint64_t max = std::numeric_limits<std::uint64_t>::max()) const;
--- a/src/coordination/endpoint_list_leader.hpp
+++ b/src/coordination/endpoint_list_leader.hpp
@@ -1,5 +1,7 @@
-// Reading the list of hosts: one gateway has the duty by a lease and passes on what discovery tells it; the
-// others ask discovery themselves only while nobody does. No I/O; times as in Lease.
+/// @file
+/// Replication of the endpoint list. The lease holder, called the leader, watches service discovery and
+/// forwards its lists to the other gateways. These watch discovery themselves only while no leader keeps
+/// their list up to date. No I/O; times as in Lease.
 #ifndef MEADOWYARD_COORDINATION_ENDPOINT_LIST_LEADER_HPP_
 #define MEADOWYARD_COORDINATION_ENDPOINT_LIST_LEADER_HPP_
 
@@ -14,58 +16,66 @@
 
 namespace meadowyard::coordination {
 
+/// One gateway's part in the replication: leader while it holds the lease, follower otherwise.
 class EndpointListLeader {
  public:
   struct Handlers {
     std::function<void(int to, const CoordinationMessage&)> send;
-    std::function<discovery::EndpointList()> whole;     // as it stands here
-    std::function<void(discovery::EndpointList)> told;  // by whoever has the duty
-    std::function<void(bool on)> watch;                 // discovery, by oneself
+    std::function<discovery::EndpointList()> current_list;       ///< The complete list of this gateway.
+    std::function<void(discovery::EndpointList)> list_received;  ///< Called with a list from the leader.
+    std::function<void(bool enabled)> watch_discovery;  ///< Starts or stops this gateway's own watch.
   };
   struct Times {
     Lease::Times lease;
-    Millis leader_timeout = 2000;  // without a word from whoever has the duty each asks for itself
-    Millis refuses =
-        5000;  // one whose discovery failed, or is another, leaves the duty to others for so long
+    /// A follower whose revision no leader confirms for this long watches discovery itself.
+    Millis leader_timeout = 2000;
+    /// A gateway whose discovery failed or was replaced does not request the lease for this long.
+    Millis lease_backoff = 5000;
   };
-  EndpointListLeader(int self, int gateways, Times times, Millis now, FencingToken least,
+  /// `self` and `initial_round` as in Lease. `revision` is that of this gateway's list, if it has one.
+  EndpointListLeader(int self, int gateways, Times times, Millis now, FencingToken initial_round,
                      std::optional<std::int64_t> revision, Handlers handlers);
 
-  // To be called again and again; `chance` as in Lease.
-  void Tick(Millis now, double chance);
-  void OnMessage(Millis now, int from, const CoordinationMessage& word);
-  // By this gateway's own discovery; `list` was taken in by then.
+  /// To be called periodically; `jitter` as in Lease.
+  void Tick(Millis now, double jitter);
+  /// Handles a message of the gateway `from`.
+  void OnMessage(Millis now, int from, const CoordinationMessage& received);
+  /// This gateway's own discovery delivered `list`, which the caller has already applied.
   void OnDiscoveryUpdate(Millis now, const discovery::EndpointList& list);
+  /// Gives up the lease for `lease_backoff`.
   void OnDiscoveryFailed(Millis now);
+  /// Gives up the lease for good, for an orderly exit.
   void Stop(Millis now);
-  // Discovery is another from now on: its revisions say nothing of those before.
+  /// Discovery is at another address from now on: its revisions can't be compared with the previous ones.
   void OnDiscoveryReplaced(Millis now);
-  // Whether discovery is to be asked by oneself now.
-  bool watches_discovery() const { return watches_; }
+  /// Whether this gateway has to watch discovery itself.
+  bool watches_discovery() const { return watching_discovery_; }
+  /// For operators (`GET /status/peers`).
   nlohmann::json Status(Millis now) const;
 
  private:
-  void OnMessage(Millis now, int from, const Lease::Message& word);
+  void OnMessage(Millis now, int from, const Lease::Message& received);
   void OnMessage(Millis now, int from, const EndpointListPart& part);
-  void OnMessage(Millis now, int from, const EndpointListRequest& wanted);
-  void OnMessage(Millis, int, const ZoneStateAnnouncement&) {}  // another duty's
+  void OnMessage(Millis now, int from, const EndpointListRequest& request);
+  void OnMessage(Millis, int, const ZoneStateAnnouncement&) {}  // of the zone state role
   void OnMessage(Millis, int, const ZoneStateVote&) {}
-  void Post(const std::vector<Lease::Envelope>& letters);
-  void SendList(int to, const discovery::EndpointList& list, std::int64_t after);
-  void Decide(Millis now);
+  void SendEnvelopes(const std::vector<Lease::Envelope>& envelopes);
+  void SendList(int to, const discovery::EndpointList& list, std::int64_t base_revision);
+  void UpdateDiscoveryWatch(Millis now);
 
   const int self_, gateways_;
   const Times times_;
   const Handlers handlers_;
   Lease lease_;
-  std::optional<std::int64_t> revision_;  // of what is known here
-  FencingToken acted_ = 0;                // the highest that an action came with
-  int actor_ = -1;
-  Millis fresh_at_;
-  Millis listens_from_;  // one that starts has forgotten who acted last: it waits until that is over
-  bool watches_ = true;
-  std::vector<EndpointListPart> parts_;  // of one list, until it is whole
-  std::uint64_t passed_on_ = 0, taken_ = 0, turned_down_ = 0;
+  std::optional<std::int64_t> revision_;  // of this gateway's list
+  FencingToken highest_token_ = 0;        // highest token received from a leader
+  int leader_ = -1;                       // sender of the last message with that token
+  Millis confirmed_at_;                   // when a leader last had this gateway's revision
+  // Parts are ignored until then: a restart loses the highest token, and a former leader may still send.
+  Millis recovery_until_;
+  bool watching_discovery_ = true;
+  std::vector<EndpointListPart> received_parts_;  // of one list, until it is complete
+  std::uint64_t parts_sent_ = 0, lists_received_ = 0, messages_rejected_ = 0;
 };
 
 }  // namespace meadowyard::coordination
--- a/src/coordination/message_codec.hpp
+++ b/src/coordination/message_codec.hpp
@@ -1,4 +1,6 @@
-// What gateways tell each other of a duty, and its form on the way: CBOR, a map of short names.
+/// @file
+/// The coordination messages of the lease-held roles and their wire format: a CBOR map (RFC 8949) with short
+/// keys. Gateways of different versions run side by side, so keys and kinds of values do not change.
 #ifndef MEADOWYARD_COORDINATION_MESSAGE_CODEC_HPP_
 #define MEADOWYARD_COORDINATION_MESSAGE_CODEC_HPP_
 
@@ -14,31 +16,32 @@
 
 namespace meadowyard::coordination {
 
-constexpr std::size_t kMaxMessageSize = 8192;     // bytes
-constexpr std::size_t kMaxEndpointsPerPart = 20;  // of a list: a part stays far below that
-constexpr std::size_t kMaxZones = 32;             // the same of zones
+constexpr std::size_t kMaxMessageSize = 8192;     ///< In bytes; longer messages are rejected.
+constexpr std::size_t kMaxEndpointsPerPart = 20;  ///< Keeps a list part far below kMaxMessageSize.
+constexpr std::size_t kMaxZones = 32;             ///< Keeps a zone state far below kMaxMessageSize.
 
-// From whoever reads the list of hosts for all: that it is at a revision, or a part of what leads there.
+/// From the leader of the endpoint list: its revision, or one part of a list that leads to that revision.
 struct EndpointListPart {
   FencingToken token = 0;
-  std::int64_t revision = 0, after = 0;  // after: from which it leads; a complete list from any
-  bool complete = false;
-  std::uint32_t part = 0, parts = 0;  // no parts: nothing but the revision
+  /// Of the leader's list, and the revision that a delta applies to; a complete list applies to any.
+  std::int64_t revision = 0, base_revision = 0;
+  bool complete = false;              ///< A complete list, not a delta.
+  std::uint32_t part = 0, parts = 0;  ///< Index and number of parts; 0 parts: the revision only.
   std::vector<discovery::EndpointRecord> hosts;
 };
-// To it: the sender is at another revision.
+/// To the leader: the sender has another revision and needs the complete list.
 struct EndpointListRequest {
-  FencingToken token = 0;  // as it was told
+  FencingToken token = 0;  ///< Of the message that announced the revision.
 };
 
-// How the zones stand: offered to all, agreed by more than half, or known to the sender where the holder of
-// the duty is behind.
+/// A zone state: proposed by the lease holder, committed by a majority of votes, or a newer committed one
+/// that is sent to a lease holder whose state is older.
 struct ZoneStateAnnouncement {
   enum class Kind { kProposed, kCommitted, kNewer } kind = Kind::kProposed;
-  FencingToken token = 0;  // of the holder; none of one that knows better
+  FencingToken token = 0;  ///< Of the lease holder; 0 with kNewer.
   ZoneAgreement state;
 };
-// To the holder: the sender goes along with what it offered.
+/// To the lease holder: the sender accepts the proposal with this version.
 struct ZoneStateVote {
   FencingToken token = 0;
   std::uint64_t version = 0;
@@ -46,15 +49,19 @@
 
 using CoordinationMessage =
     std::variant<Lease::Message, EndpointListPart, EndpointListRequest, ZoneStateAnnouncement, ZoneStateVote>;
-enum class LeaseRole { kEndpointList, kZoneState };  // each has a lease of its own
+/// Each role has a lease of its own.
+enum class LeaseRole { kEndpointList, kZoneState };
 
-std::vector<std::uint8_t> ToBytes(const std::string& from, LeaseRole role, const CoordinationMessage& word);
+/// The datagram of a message; `from` is the sender's name in the peers file.
+std::vector<std::uint8_t> ToBytes(const std::string& from, LeaseRole role,
+                                  const CoordinationMessage& payload);
 struct ReceivedMessage {
   std::string sender;
   LeaseRole role = LeaseRole::kEndpointList;
   CoordinationMessage message;
 };
-// Nothing if it is no such word, or any part of it is not what it should be.
+/// Reads a datagram. Nothing if it is too long, not a coordination message, or if any field is missing, of
+/// another kind or out of range.
 std::optional<ReceivedMessage> DecodeMessage(const std::uint8_t* bytes, std::size_t size);
 
 }  // namespace meadowyard::coordination
--- a/src/coordination/zone_state_coordinator.cpp
+++ b/src/coordination/zone_state_coordinator.cpp
@@ -8,109 +8,113 @@
 namespace meadowyard::coordination {
 
 ZoneStateCoordinator::ZoneStateCoordinator(int self, int gateways, Times times, Millis now,
-                                           FencingToken least, Handlers handlers)
+                                           FencingToken initial_round, Handlers handlers)
     : self_(self),
       gateways_(gateways),
       times_(times),
       handlers_(std::move(handlers)),
-      lease_(self, gateways, times.lease, now, least),
+      lease_(self, gateways, times.lease, now, initial_round),
       evaluator_(gateways, times.evaluator),
-      votes_from_(now + times.lease.term * (1 + times.lease.max_clock_drift)) {}
+      recovery_until_(now + times.lease.term * (1 + times.lease.max_clock_drift)) {}
 
-void ZoneStateCoordinator::Post(const std::vector<Lease::Envelope>& letters) {
-  for (const Lease::Envelope& letter : letters) handlers_.send(letter.to, letter.message);
+void ZoneStateCoordinator::SendEnvelopes(const std::vector<Lease::Envelope>& envelopes) {
+  for (const Lease::Envelope& envelope : envelopes) handlers_.send(envelope.to, envelope.message);
 }
 
-void ZoneStateCoordinator::ToOthers(const CoordinationMessage& word) {
-  for (int g = 0; g < gateways_; ++g) {
-    if (g != self_) handlers_.send(g, word);
+void ZoneStateCoordinator::Broadcast(const CoordinationMessage& outgoing) {
+  for (int gateway = 0; gateway < gateways_; ++gateway) {
+    if (gateway != self_) handlers_.send(gateway, outgoing);
   }
 }
 
-void ZoneStateCoordinator::Tick(Millis now, double chance, const ZoneLoadReport& own) {
+void ZoneStateCoordinator::Tick(Millis now, double jitter, const ZoneLoadReport& own) {
   OnLoadReport(now, self_, own);
-  std::vector<Lease::Envelope> letters;
-  lease_.Tick(now, chance, letters);
-  Post(letters);
-  if (!lease_.IsHeld(now)) return offer_.reset();
-  acted_ = std::max(acted_, lease_.token());
-  if (!offer_) {
-    if (auto zones = evaluator_.Evaluate(now, agreed_.zones)) Offer(now, std::move(*zones));
-  } else if (now - offered_at_ >= times_.proposal_retry_interval) {
-    Offer(now, std::move(offer_->zones));
+  std::vector<Lease::Envelope> envelopes;
+  lease_.Tick(now, jitter, envelopes);
+  SendEnvelopes(envelopes);
+  if (!lease_.IsHeld(now)) return proposal_.reset();
+  highest_token_ = std::max(highest_token_, lease_.token());
+  if (!proposal_) {
+    if (auto zones = evaluator_.Evaluate(now, agreed_.zones)) Propose(now, std::move(*zones));
+  } else if (now - proposed_at_ >= times_.proposal_retry_interval) {
+    Propose(now, std::move(proposal_->zones));
   }
   if (agreed_.term > 0)
-    ToOthers(ZoneStateAnnouncement{ZoneStateAnnouncement::Kind::kCommitted, lease_.token(), agreed_});
+    Broadcast(ZoneStateAnnouncement{ZoneStateAnnouncement::Kind::kCommitted, lease_.token(), agreed_});
 }
 
-void ZoneStateCoordinator::Offer(Millis now, std::vector<ZoneAgreement::Zone> zones) {
-  offer_ = {lease_.token(), agreed_.version + 1, std::move(zones)};
-  votes_.clear();
-  offered_at_ = now;
-  ++offered_;
-  ToOthers(ZoneStateAnnouncement{ZoneStateAnnouncement::Kind::kProposed, lease_.token(), *offer_});
-  Count(now, self_);
+void ZoneStateCoordinator::Propose(Millis now, std::vector<ZoneAgreement::Zone> zones) {
+  proposal_ = {lease_.token(), agreed_.version + 1, std::move(zones)};
+  voters_.clear();
+  proposed_at_ = now;
+  ++proposals_sent_;
+  Broadcast(ZoneStateAnnouncement{ZoneStateAnnouncement::Kind::kProposed, lease_.token(), *proposal_});
+  CountVote(now, self_);
 }
 
-void ZoneStateCoordinator::Count(Millis now, int from) {
-  votes_.insert(from);
-  if (2 * static_cast<int>(votes_.size()) <= gateways_) return;
-  Adopt(now, *std::exchange(offer_, std::nullopt));
-  ToOthers(ZoneStateAnnouncement{ZoneStateAnnouncement::Kind::kCommitted, lease_.token(), agreed_});
+void ZoneStateCoordinator::CountVote(Millis now, int from) {
+  voters_.insert(from);
+  if (2 * static_cast<int>(voters_.size()) <= gateways_) return;
+  Adopt(now, *std::exchange(proposal_, std::nullopt));
+  Broadcast(ZoneStateAnnouncement{ZoneStateAnnouncement::Kind::kCommitted, lease_.token(), agreed_});
 }
 
 void ZoneStateCoordinator::Adopt(Millis now, const ZoneAgreement& state) {
   evaluator_.OnAgreement(now, agreed_.zones, state.zones);
   agreed_ = state;
-  ++changes_;
+  ++agreements_adopted_;
   handlers_.agreed(agreed_);
 }
 
-void ZoneStateCoordinator::OnMessage(Millis now, int from, const CoordinationMessage& word) {
-  std::visit([&](const auto& w) { OnMessage(now, from, w); }, word);
+void ZoneStateCoordinator::OnMessage(Millis now, int from, const CoordinationMessage& received) {
+  std::visit([&](const auto& content) { OnMessage(now, from, content); }, received);
 }
 
-void ZoneStateCoordinator::OnMessage(Millis now, int from, const Lease::Message& word) {
-  std::vector<Lease::Envelope> letters;
-  lease_.OnMessage(now, from, word, letters);
-  Post(letters);
+void ZoneStateCoordinator::OnMessage(Millis now, int from, const Lease::Message& received) {
+  std::vector<Lease::Envelope> envelopes;
+  lease_.OnMessage(now, from, received, envelopes);
+  SendEnvelopes(envelopes);
 }
 
-void ZoneStateCoordinator::OnMessage(Millis now, int from, const ZoneStateAnnouncement& word) {
-  // More than half had agreed on it, whoever says so.
-  if (word.kind == ZoneStateAnnouncement::Kind::kNewer) {
-    if (word.state.IsNewerThan(agreed_)) Adopt(now, word.state);
+void ZoneStateCoordinator::OnMessage(Millis now, int from, const ZoneStateAnnouncement& received) {
+  // The sender has adopted this state, so a majority has voted for it: it is valid without a lease.
+  if (received.kind == ZoneStateAnnouncement::Kind::kNewer) {
+    if (received.state.IsNewerThan(agreed_)) Adopt(now, received.state);
     return;
   }
-  if (word.token < acted_) {
-    ++turned_down_;  // of one that had the duty before and does not know that it has lost it
-    return handlers_.send(from, Lease::Message{Lease::Message::Type::kReject, word.token, acted_, -1});
+  if (received.token < highest_token_) {
+    ++messages_rejected_;  // from a former lease holder that has not noticed the loss of its lease
+    return handlers_.send(from,
+                          Lease::Message{Lease::Message::Type::kReject, received.token, highest_token_, -1});
   }
-  acted_ = word.token;
-  lease_.ObserveToken(word.token);
-  if (word.kind == ZoneStateAnnouncement::Kind::kProposed) {
-    if (now >= votes_from_) handlers_.send(from, ZoneStateVote{word.token, word.state.version});
-  } else if (word.state.IsNewerThan(agreed_)) {
-    Adopt(now, word.state);
-  } else if (agreed_.IsNewerThan(word.state)) {
+  highest_token_ = received.token;
+  lease_.ObserveToken(received.token);
+  if (received.kind == ZoneStateAnnouncement::Kind::kProposed) {
+    if (now >= recovery_until_) handlers_.send(from, ZoneStateVote{received.token, received.state.version});
+  } else if (received.state.IsNewerThan(agreed_)) {
+    Adopt(now, received.state);
+  } else if (agreed_.IsNewerThan(received.state)) {
     handlers_.send(from, ZoneStateAnnouncement{ZoneStateAnnouncement::Kind::kNewer, 0, agreed_});
   }
 }
 
 void ZoneStateCoordinator::OnMessage(Millis now, int from, const ZoneStateVote& vote) {
-  if (!offer_ || !lease_.IsHeld(now) || vote.token != offer_->term || vote.version != offer_->version) return;
-  Count(now, from);
+  if (!proposal_ || !lease_.IsHeld(now) || vote.token != proposal_->term ||
+      vote.version != proposal_->version)
+    return;
+  CountVote(now, from);
 }
 
 void ZoneStateCoordinator::Stop() { lease_.Release(std::numeric_limits<Millis>::infinity()); }
 
 nlohmann::json ZoneStateCoordinator::Status(Millis now) const {
   nlohmann::json zones = nlohmann::json::array();
-  for (const ZoneAgreement::Zone& z : agreed_.zones)
-    zones.push_back({{"name", z.name}, {"health", z.health}, {"size", z.capacity}, {"demand", z.demand}});
-  return {{"holds", lease_.IsHeld(now)}, {"holder", lease_.Owner(now)}, {"term", agreed_.term},
-          {"version", agreed_.version},  {"agreed", std::move(zones)},  {"offered", offered_},
-          {"changes", changes_},         {"turned_down", turned_down_}};
+  for (const ZoneAgreement::Zone& zone : agreed_.zones)
+    zones.push_back(
+        {{"name", zone.name}, {"health", zone.health}, {"size", zone.capacity}, {"demand", zone.demand}});
+  return {{"holds", lease_.IsHeld(now)},    {"holder", lease_.Owner(now)},      {"term", agreed_.term},
+          {"version", agreed_.version},     {"agreed", std::move(zones)},       {"offered", proposals_sent_},
+          {"changes", agreements_adopted_}, {"turned_down", messages_rejected_}};
 }
 
 }  // namespace meadowyard::coordination
--- a/src/coordination/zone_state_coordinator.hpp
+++ b/src/coordination/zone_state_coordinator.hpp
@@ -1,6 +1,8 @@
-// Agreeing on how the zones stand: one gateway has the duty by a lease, proposes a change when what all see
-// is reason for one, and nobody goes by it before more than half of all gateways have taken it down. Who
-// can't reach those keeps to the last that was agreed. No I/O; times as in Lease.
+/// @file
+/// Agreement of all gateways on the zone state. The lease holder proposes a change when the load reports of
+/// all gateways justify one. A proposal is committed, and only then applied, when more than half of all
+/// gateways have voted for it. A gateway without contact to a majority keeps the last agreement. No I/O;
+/// times as in Lease.
 #ifndef MEADOWYARD_COORDINATION_ZONE_STATE_COORDINATOR_HPP_
 #define MEADOWYARD_COORDINATION_ZONE_STATE_COORDINATOR_HPP_
 
@@ -17,40 +19,46 @@
 
 namespace meadowyard::coordination {
 
+/// One gateway's part in the agreement: proposer while it holds the lease, voter otherwise.
 class ZoneStateCoordinator {
  public:
   struct Handlers {
     std::function<void(int to, const CoordinationMessage&)> send;
-    std::function<void(const ZoneAgreement&)> agreed;  // to go by from now on
+    std::function<void(const ZoneAgreement&)> agreed;  ///< The agreement that applies from now on.
   };
   struct Times {
     Lease::Times lease;
     ZoneHealthEvaluator::Times evaluator;
-    Millis proposal_retry_interval = 400;  // from an offer without enough votes to the next
+    Millis proposal_retry_interval = 400;  ///< Until a proposal without a majority is sent again.
   };
-  ZoneStateCoordinator(int self, int gateways, Times times, Millis now, FencingToken least,
+  /// `self` and `initial_round` as in Lease.
+  ZoneStateCoordinator(int self, int gateways, Times times, Millis now, FencingToken initial_round,
                        Handlers handlers);
 
-  // To be called again and again, with what this gateway sees itself; `chance` as in Lease.
-  void Tick(Millis now, double chance, const ZoneLoadReport& own);
-  void OnLoadReport(Millis now, int gateway, const ZoneLoadReport& sights) {
-    evaluator_.OnLoadReport(now, gateway, sights);
+  /// To be called periodically, with this gateway's own load report; `jitter` as in Lease.
+  void Tick(Millis now, double jitter, const ZoneLoadReport& own);
+  /// A load report of another gateway, which is given by its index.
+  void OnLoadReport(Millis now, int gateway, const ZoneLoadReport& report) {
+    evaluator_.OnLoadReport(now, gateway, report);
   }
-  void OnMessage(Millis now, int from, const CoordinationMessage& word);
+  /// Handles a message of the gateway `from`.
+  void OnMessage(Millis now, int from, const CoordinationMessage& received);
+  /// Gives up the lease for good, for an orderly exit.
   void Stop();
   const ZoneAgreement& agreed() const { return agreed_; }
+  /// For operators (`GET /status/peers`).
   nlohmann::json Status(Millis now) const;
 
  private:
-  void OnMessage(Millis now, int from, const Lease::Message& word);
-  void OnMessage(Millis now, int from, const ZoneStateAnnouncement& word);
+  void OnMessage(Millis now, int from, const Lease::Message& received);
+  void OnMessage(Millis now, int from, const ZoneStateAnnouncement& received);
   void OnMessage(Millis now, int from, const ZoneStateVote& vote);
-  void OnMessage(Millis, int, const EndpointListPart&) {}  // another duty's
+  void OnMessage(Millis, int, const EndpointListPart&) {}  // of the endpoint list role
   void OnMessage(Millis, int, const EndpointListRequest&) {}
-  void Post(const std::vector<Lease::Envelope>& letters);
-  void ToOthers(const CoordinationMessage& word);
-  void Offer(Millis now, std::vector<ZoneAgreement::Zone> zones);
-  void Count(Millis now, int from);
+  void SendEnvelopes(const std::vector<Lease::Envelope>& envelopes);
+  void Broadcast(const CoordinationMessage& outgoing);
+  void Propose(Millis now, std::vector<ZoneAgreement::Zone> zones);
+  void CountVote(Millis now, int from);
   void Adopt(Millis now, const ZoneAgreement& state);
 
   const int self_, gateways_;
@@ -59,12 +67,12 @@
   Lease lease_;
   ZoneHealthEvaluator evaluator_;
   ZoneAgreement agreed_;
-  std::optional<ZoneAgreement> offer_;
-  std::set<int> votes_;
-  Millis offered_at_ = 0;
-  FencingToken acted_ = 0;  // the highest that an action came with
-  Millis votes_from_;       // one that starts has forgotten whom it followed
-  std::uint64_t offered_ = 0, changes_ = 0, turned_down_ = 0;
+  std::optional<ZoneAgreement> proposal_;
+  std::set<int> voters_;
+  Millis proposed_at_ = 0;
+  FencingToken highest_token_ = 0;  // highest token in use, own or received
+  Millis recovery_until_;  // no votes until then: a restart loses the highest token that was followed
+  std::uint64_t proposals_sent_ = 0, agreements_adopted_ = 0, messages_rejected_ = 0;
 };
 
 }  // namespace meadowyard::coordination
--- a/tests/coordination/characterization_test.cpp
+++ b/tests/coordination/characterization_test.cpp
@@ -1,12 +1,12 @@
-// Characterization of the coordination state machines: seeded random sequences of every kind of event are
-// driven through groups of gateways, and a digest of all that they send, report and show as their status is
-// compared with a recorded one.
+// Characterization of the coordination state machines: groups of gateways run through seeded random sequences
+// of every kind of event, and a digest of all that they send, report and return as their status is compared
+// with a recorded one. Guards against unintended changes of any decision.
 //
 // The recorded digests, tests/fixtures/coordination_digests.txt, were written by the program of commit
 // ff1d420. They must stay the same to the last bit through any change that is meant to keep every decision:
-// names, structure, comments. The file may be written anew only by a commit that changes a decision on
-// purpose and says so in its message; run the test with MEADOWYARD_WRITE_DIGESTS=FILE to have the digests
-// appended there.
+// names, structure, comments. The file may be recorded again only in a commit that changes a decision on
+// purpose and states this in its message. With MEADOWYARD_WRITE_DIGESTS=FILE the test appends the digests to
+// that file instead.
 //
 // Digests hold for x86-64 with the C library's exp for processors with fused multiply-add.
 #include <gtest/gtest.h>
@@ -33,23 +33,23 @@
 
 using namespace coordination;
 
-constexpr int kEvents = 10000;
+constexpr int kEventCount = 10000;
 constexpr std::uint64_t kSeeds[] = {1, 2, 3, 4, 5, 6};
 
-std::size_t At(int gateway) { return static_cast<std::size_t>(gateway); }
+std::size_t IndexOf(int gateway) { return static_cast<std::size_t>(gateway); }
 
-// Clocks of the gateways: any time apart, and running apart a little.
+// Clocks of the gateways, with any offset and rates of 0.99 to 1.01.
 class Clocks {
  public:
   Clocks(int gateways, SplitMix64& random) {
-    for (int g = 0; g < gateways; ++g) {
+    for (int gateway = 0; gateway < gateways; ++gateway) {
       offsets_.push_back(random.Between(0, 1e6));
       rates_.push_back(random.Between(0.99, 1.01));
     }
   }
-  void Advance(Millis by) { elapsed_ += by; }
+  void Advance(Millis duration) { elapsed_ += duration; }
   [[nodiscard]] Millis Now(int gateway) const {
-    return offsets_[At(gateway)] + rates_[At(gateway)] * elapsed_;
+    return offsets_[IndexOf(gateway)] + rates_[IndexOf(gateway)] * elapsed_;
   }
   [[nodiscard]] std::uint64_t Elapsed() const { return static_cast<std::uint64_t>(elapsed_); }
 
@@ -61,85 +61,87 @@
 
 // ---- Lease -----------------------------------------------------------------------------------
 
-class LeasePlayer {
+class LeaseScenario {
  public:
-  explicit LeasePlayer(std::uint64_t seed)
+  explicit LeaseScenario(std::uint64_t seed)
       : random_(seed),
-        size_(3 + random_.Below(3)),
-        clocks_(size_, random_),
+        gateway_count_(3 + random_.Below(3)),
+        clocks_(gateway_count_, random_),
         network_(random_.Between(0, 0.2), 0.05) {
     times_.term = random_.Between(500, 3000);
     times_.max_clock_drift = 0.02;
     times_.retry_interval = random_.Between(20, 200);
-    for (int g = 0; g < size_; ++g) leases_.push_back(Start(g));
+    for (int gateway = 0; gateway < gateway_count_; ++gateway) leases_.push_back(Start(gateway));
   }
 
-  std::uint64_t Play() {
-    for (int i = 0; i < kEvents; ++i) {
+  std::uint64_t Run() {
+    for (int event = 0; event < kEventCount; ++event) {
       clocks_.Advance(random_.Between(0, 8));
       if (random_.Chance(0.0005)) clocks_.Advance(random_.Between(0, 2 * times_.term));
-      PlayOne();
+      RunOneEvent();
     }
-    for (int g = 0; g < size_; ++g) AddStatus(g);
+    for (int gateway = 0; gateway < gateway_count_; ++gateway) AddStatus(gateway);
     return digest_.value();
   }
 
  private:
-  Lease Start(int g) { return {g, size_, times_, clocks_.Now(g), clocks_.Elapsed()}; }
+  Lease Start(int gateway) {
+    return {gateway, gateway_count_, times_, clocks_.Now(gateway), clocks_.Elapsed()};
+  }
 
-  void PlayOne() {
+  void RunOneEvent() {
     const int kind = random_.Below(10000);
-    int g = random_.Below(size_);
+    int gateway = random_.Below(gateway_count_);
     std::vector<Lease::Envelope> out;
     if (kind < 8300) {
       network_.DeliverOne(random_, [&](const auto& datagram) {
-        g = datagram.to;
-        leases_[At(g)].OnMessage(clocks_.Now(g), datagram.from, datagram.message, out);
+        gateway = datagram.to;
+        leases_[IndexOf(gateway)].OnMessage(clocks_.Now(gateway), datagram.from, datagram.message, out);
       });
     } else if (kind < 9900) {
-      leases_[At(g)].Tick(clocks_.Now(g), random_.Fraction(), out);
+      leases_[IndexOf(gateway)].Tick(clocks_.Now(gateway), random_.Fraction(), out);
     } else if (kind < 9930) {
-      const int from = random_.Below(size_);
-      leases_[At(g)].OnMessage(clocks_.Now(g), from, AnyWord(), out);
+      const int from = random_.Below(gateway_count_);
+      leases_[IndexOf(gateway)].OnMessage(clocks_.Now(gateway), from, ForgeMessage(), out);
     } else if (kind < 9940) {
-      leases_[At(g)].Release(clocks_.Now(g) + random_.Between(0, times_.term));
+      leases_[IndexOf(gateway)].Release(clocks_.Now(gateway) + random_.Between(0, times_.term));
     } else if (kind < 9960) {
-      leases_[At(g)].ObserveToken(AnyToken());
+      leases_[IndexOf(gateway)].ObserveToken(ForgeToken());
     } else if (kind < 9968) {
-      leases_[At(g)] = Start(g);
+      leases_[IndexOf(gateway)] = Start(gateway);
     }
-    for (const Lease::Envelope& letter : out) Post(g, letter);
-    AddStatus(g);
+    for (const Lease::Envelope& envelope : out) SendAndRecord(gateway, envelope);
+    AddStatus(gateway);
   }
 
-  FencingToken AnyToken() {
-    const FencingToken in_use = leases_[random_.Index(leases_.size())].token();
-    return in_use + random_.Next() % 600;
+  FencingToken ForgeToken() {
+    const FencingToken current_token = leases_[random_.Index(leases_.size())].token();
+    return current_token + random_.Next() % 600;
   }
 
-  // A message that nobody sent; its numbers are near those in use.
-  Lease::Message AnyWord() {
-    Lease::Message word;
-    word.type = static_cast<Lease::Message::Type>(random_.Below(5));
-    word.token = AnyToken();
-    word.highest_promised = word.token + random_.Next() % 300;
-    word.owner = random_.Below(size_ + 1) - 1;
-    return word;
+  // A message that no gateway sent, with numbers near those in use.
+  Lease::Message ForgeMessage() {
+    Lease::Message payload;
+    payload.type = static_cast<Lease::Message::Type>(random_.Below(5));
+    payload.token = ForgeToken();
+    payload.highest_promised = payload.token + random_.Next() % 300;
+    payload.owner = random_.Below(gateway_count_ + 1) - 1;
+    return payload;
   }
 
-  void Post(int from, const Lease::Envelope& letter) {
+  void SendAndRecord(int from, const Lease::Envelope& envelope) {
     digest_.Add(from);
-    digest_.Add(letter.to);
-    digest_.Add(static_cast<int>(letter.message.type));
-    digest_.Add(letter.message.token);
-    digest_.Add(letter.message.highest_promised);
-    digest_.Add(letter.message.owner);
-    network_.Send(from, letter.to, letter.message);
+    digest_.Add(envelope.to);
+    digest_.Add(static_cast<int>(envelope.message.type));
+    digest_.Add(envelope.message.token);
+    digest_.Add(envelope.message.highest_promised);
+    digest_.Add(envelope.message.owner);
+    network_.Send(from, envelope.to, envelope.message);
   }
 
-  void AddStatus(int g) {
-    const Lease& lease = leases_[At(g)];
-    const Millis now = clocks_.Now(g);
+  void AddStatus(int gateway) {
+    const Lease& lease = leases_[IndexOf(gateway)];
+    const Millis now = clocks_.Now(gateway);
     digest_.Add(lease.IsHeld(now));
     digest_.Add(lease.token());
     digest_.Add(lease.held_until());
@@ -147,7 +149,7 @@
   }
 
   SplitMix64 random_;
-  const int size_;
+  const int gateway_count_;
   Clocks clocks_;
   UnreliableNetwork<Lease::Message> network_;
   Lease::Times times_;
@@ -155,91 +157,95 @@
   Digest digest_;
 };
 
-// ---- Reading the list of endpoints -----------------------------------------------------------
+// ---- Endpoint list replication ---------------------------------------------------------------
 
-class ListPlayer {
+class EndpointListScenario {
  public:
-  explicit ListPlayer(std::uint64_t seed)
+  explicit EndpointListScenario(std::uint64_t seed)
       : random_(seed),
-        size_(3 + random_.Below(3)),
-        clocks_(size_, random_),
+        gateway_count_(3 + random_.Below(3)),
+        clocks_(gateway_count_, random_),
         network_(random_.Between(0, 0.15), 0.03),
-        lists_(At(size_)) {
+        lists_(IndexOf(gateway_count_)) {
     times_.lease = {random_.Between(500, 1500), 0.02, random_.Between(20, 100)};
     times_.leader_timeout = random_.Between(300, 1000);
-    times_.refuses = random_.Between(500, 2000);
-    for (int g = 0; g < size_; ++g) Start(g);
+    times_.lease_backoff = random_.Between(500, 2000);
+    for (int gateway = 0; gateway < gateway_count_; ++gateway) Start(gateway);
   }
 
-  std::uint64_t Play() {
-    for (int i = 0; i < kEvents; ++i) {
+  std::uint64_t Run() {
+    for (int event = 0; event < kEventCount; ++event) {
       clocks_.Advance(random_.Between(0, 8));
       if (random_.Chance(0.0005)) clocks_.Advance(random_.Between(0, 2 * times_.lease.term));
-      PlayOne();
+      RunOneEvent();
     }
-    for (int g = 0; g < size_; ++g) AddStatus(g);
+    for (int gateway = 0; gateway < gateway_count_; ++gateway) AddStatus(gateway);
     return digest_.value();
   }
 
  private:
-  void Start(int g) {
-    if (duties_.size() <= At(g)) duties_.resize(At(g) + 1);
+  void Start(int gateway) {
+    if (coordinators_.size() <= IndexOf(gateway)) coordinators_.resize(IndexOf(gateway) + 1);
     const std::optional<std::int64_t> revision =
-        random_.Chance(0.5) ? std::optional(lists_[At(g)].revision) : std::nullopt;
+        random_.Chance(0.5) ? std::optional(lists_[IndexOf(gateway)].revision) : std::nullopt;
     EndpointListLeader::Handlers handlers;
-    handlers.send = [this, g](int to, const CoordinationMessage& word) { Post(g, to, word); };
-    handlers.whole = [this, g] { return lists_[At(g)]; };
-    handlers.told = [this, g](const discovery::EndpointList& list) { Received(g, list); };
-    handlers.watch = [this, g](bool on) {
-      digest_.Add(g);
-      digest_.Add(on);
+    handlers.send = [this, gateway](int to, const CoordinationMessage& payload) {
+      SendAndRecord(gateway, to, payload);
+    };
+    handlers.current_list = [this, gateway] { return lists_[IndexOf(gateway)]; };
+    handlers.list_received = [this, gateway](const discovery::EndpointList& list) {
+      OnListReceived(gateway, list);
+    };
+    handlers.watch_discovery = [this, gateway](bool enabled) {
+      digest_.Add(gateway);
+      digest_.Add(enabled);
     };
-    duties_[At(g)] = std::make_unique<EndpointListLeader>(g, size_, times_, clocks_.Now(g), clocks_.Elapsed(),
-                                                          revision, handlers);
+    coordinators_[IndexOf(gateway)] = std::make_unique<EndpointListLeader>(
+        gateway, gateway_count_, times_, clocks_.Now(gateway), clocks_.Elapsed(), revision, handlers);
   }
 
-  void PlayOne() {
+  void RunOneEvent() {
     const int kind = random_.Below(10000);
-    int g = random_.Below(size_);
-    EndpointListLeader& duty = *duties_[At(g)];
-    const Millis now = clocks_.Now(g);
+    int gateway = random_.Below(gateway_count_);
+    EndpointListLeader& coordinator = *coordinators_[IndexOf(gateway)];
+    const Millis now = clocks_.Now(gateway);
     if (kind < 8000) {
       network_.DeliverOne(random_, [&](const auto& datagram) {
-        g = datagram.to;
-        duties_[At(g)]->OnMessage(clocks_.Now(g), datagram.from, datagram.message);
+        gateway = datagram.to;
+        coordinators_[IndexOf(gateway)]->OnMessage(clocks_.Now(gateway), datagram.from, datagram.message);
       });
     } else if (kind < 9400) {
-      duty.Tick(now, random_.Fraction());
+      coordinator.Tick(now, random_.Fraction());
     } else if (kind < 9700) {
-      if (duty.watches_discovery()) Discover(g);
+      if (coordinator.watches_discovery()) AnswerDiscovery(gateway);
     } else if (kind < 9850) {
-      ChangeHosts();
+      ChangeDiscoveredHosts();
     } else if (kind < 9880) {
-      const int from = random_.Below(size_);
-      duty.OnMessage(now, from, AnyWord());
+      const int from = random_.Below(gateway_count_);
+      coordinator.OnMessage(now, from, ForgeMessage());
     } else if (kind < 9886) {
-      duty.OnDiscoveryFailed(now);
+      coordinator.OnDiscoveryFailed(now);
     } else if (kind < 9890) {
-      duty.OnDiscoveryReplaced(now);
+      coordinator.OnDiscoveryReplaced(now);
     } else if (kind < 9894) {
-      duty.Stop(now);
-      Start(g);
+      coordinator.Stop(now);
+      Start(gateway);
     } else if (kind < 9902) {
-      Start(g);
+      Start(gateway);
     }
-    AddStatus(g);
+    AddStatus(gateway);
   }
 
-  void ChangeHosts() {
-    ++truth_.revision;
-    changed_ = {NewHost()};
-    if (truth_.endpoints.empty() || (truth_.endpoints.size() < 50 && random_.Chance(0.8))) {
-      truth_.endpoints.push_back(changed_[0]);
+  void ChangeDiscoveredHosts() {
+    ++discovered_.revision;
+    last_change_ = {NewHost()};
+    if (discovered_.endpoints.empty() || (discovered_.endpoints.size() < 50 && random_.Chance(0.8))) {
+      discovered_.endpoints.push_back(last_change_[0]);
       return;
     }
-    discovery::EndpointRecord& host = truth_.endpoints[random_.Index(truth_.endpoints.size())];
+    discovery::EndpointRecord& host = discovered_.endpoints[random_.Index(discovered_.endpoints.size())];
     host.endpoint.state = random_.Chance(0.5) ? EndpointState::kDraining : EndpointState::kUp;
-    changed_ = {host};
+    last_change_ = {host};
   }
 
   discovery::EndpointRecord NewHost() {
@@ -254,195 +260,200 @@
     return host;
   }
 
-  // The gateway's own discovery answers: with all, with the last change, or with nothing new.
-  void Discover(int g) {
-    discovery::EndpointList list = truth_;
-    discovery::EndpointList& known = lists_[At(g)];
-    if (known.revision + 1 == truth_.revision) {
+  // The gateway's own discovery answers with the complete list, with the last change, or with no change.
+  void AnswerDiscovery(int gateway) {
+    discovery::EndpointList list = discovered_;
+    discovery::EndpointList& own_list = lists_[IndexOf(gateway)];
+    if (own_list.revision + 1 == discovered_.revision) {
       list.is_snapshot = false;
-      list.endpoints = changed_;
-    } else if (known.revision == truth_.revision && random_.Chance(0.8)) {
+      list.endpoints = last_change_;
+    } else if (own_list.revision == discovered_.revision && random_.Chance(0.8)) {
       list.is_snapshot = false;
       list.endpoints.clear();
     }
-    Merge(g, list);
-    duties_[At(g)]->OnDiscoveryUpdate(clocks_.Now(g), list);
+    Merge(gateway, list);
+    coordinators_[IndexOf(gateway)]->OnDiscoveryUpdate(clocks_.Now(gateway), list);
   }
 
-  void Merge(int g, const discovery::EndpointList& list) {
-    discovery::EndpointList& known = lists_[At(g)];
-    if (list.is_snapshot) known.endpoints.clear();
+  void Merge(int gateway, const discovery::EndpointList& list) {
+    discovery::EndpointList& own_list = lists_[IndexOf(gateway)];
+    if (list.is_snapshot) own_list.endpoints.clear();
     for (const discovery::EndpointRecord& host : list.endpoints) {
-      std::erase_if(known.endpoints,
-                    [&](const discovery::EndpointRecord& h) { return h.endpoint.id == host.endpoint.id; });
-      known.endpoints.push_back(host);
+      std::erase_if(own_list.endpoints, [&](const discovery::EndpointRecord& known_host) {
+        return known_host.endpoint.id == host.endpoint.id;
+      });
+      own_list.endpoints.push_back(host);
     }
-    known.revision = list.revision;
+    own_list.revision = list.revision;
   }
 
-  void Received(int g, const discovery::EndpointList& list) {
-    digest_.Add(g);
+  void OnListReceived(int gateway, const discovery::EndpointList& list) {
+    digest_.Add(gateway);
     digest_.Add(discovery::SerializeEndpointList(list));
-    Merge(g, list);
+    Merge(gateway, list);
   }
 
-  // A message that nobody sent; its numbers are near those in use.
-  CoordinationMessage AnyWord() {
-    const FencingToken token = duties_[random_.Index(duties_.size())]->Status(clocks_.Now(0))["token"];
+  // A message that no gateway sent, with numbers near those in use.
+  CoordinationMessage ForgeMessage() {
+    const FencingToken token =
+        coordinators_[random_.Index(coordinators_.size())]->Status(clocks_.Now(0))["token"];
     if (random_.Chance(0.3)) return EndpointListRequest{token + random_.Next() % 3};
     EndpointListPart part;
     part.token = token + random_.Next() % 3;
-    part.revision = truth_.revision + random_.Below(3) - 1;
-    part.after = part.revision - random_.Below(3);
+    part.revision = discovered_.revision + random_.Below(3) - 1;
+    part.base_revision = part.revision - random_.Below(3);
     part.complete = random_.Chance(0.3);
     part.parts = static_cast<std::uint32_t>(random_.Below(3));
     part.part = part.parts > 0 ? static_cast<std::uint32_t>(random_.Below(static_cast<int>(part.parts))) : 0;
-    if (part.parts > 0) part.hosts = changed_;
+    if (part.parts > 0) part.hosts = last_change_;
     return part;
   }
 
-  void Post(int from, int to, const CoordinationMessage& word) {
+  void SendAndRecord(int from, int to, const CoordinationMessage& payload) {
     digest_.Add(from);
     digest_.Add(to);
-    digest_.Add(ToBytes("g" + std::to_string(from), LeaseRole::kEndpointList, word));
-    network_.Send(from, to, word);
+    digest_.Add(ToBytes("g" + std::to_string(from), LeaseRole::kEndpointList, payload));
+    network_.Send(from, to, payload);
   }
 
-  void AddStatus(int g) {
-    digest_.Add(duties_[At(g)]->Status(clocks_.Now(g)).dump());
-    digest_.Add(duties_[At(g)]->watches_discovery());
+  void AddStatus(int gateway) {
+    digest_.Add(coordinators_[IndexOf(gateway)]->Status(clocks_.Now(gateway)).dump());
+    digest_.Add(coordinators_[IndexOf(gateway)]->watches_discovery());
   }
 
   SplitMix64 random_;
-  const int size_;
+  const int gateway_count_;
   Clocks clocks_;
   UnreliableNetwork<CoordinationMessage> network_;
   EndpointListLeader::Times times_;
-  discovery::EndpointList truth_;
-  std::vector<discovery::EndpointRecord> changed_;
+  discovery::EndpointList discovered_;
+  std::vector<discovery::EndpointRecord> last_change_;
   std::vector<discovery::EndpointList> lists_;
-  std::vector<std::unique_ptr<EndpointListLeader>> duties_;
+  std::vector<std::unique_ptr<EndpointListLeader>> coordinators_;
   Digest digest_;
   int next_host_ = 0;
 };
 
-// ---- Agreeing on zones -----------------------------------------------------------------------
+// ---- Zone state ------------------------------------------------------------------------------
 
-// What the gateways observe of three zones, whose state wanders.
-class ZoneWeather {
+// What the gateways observe of three zones, whose state changes at random.
+class ObservedZones {
  public:
   void Change(SplitMix64& random) {
     const std::size_t zone = random.Index(3);
-    const double roll = random.Fraction();
-    available_[zone] = roll < 0.15 ? 0 : roll < 0.7 ? 1 : random.Fraction();
-    good_[zone] = random.Chance(0.7) ? 1 : random.Fraction();
-    arriving_[zone] = random.Between(0, 300);
-    if (random.Chance(0.1)) sizes_[zone] = random.Below(9);
+    const double draw = random.Fraction();
+    available_[zone] = draw < 0.15 ? 0 : draw < 0.7 ? 1 : random.Fraction();
+    timely_[zone] = random.Chance(0.7) ? 1 : random.Fraction();
+    arrival_rates_[zone] = random.Between(0, 300);
+    if (random.Chance(0.1)) capacities_[zone] = random.Below(9);
   }
   [[nodiscard]] ZoneLoadReport Observe(int gateway, SplitMix64& random) const {
-    const std::size_t home = At(gateway) % 3;
-    ZoneLoadReport sights{Name(home), arriving_[home], {}};
+    const std::size_t home = IndexOf(gateway) % 3;
+    ZoneLoadReport report{Name(home), arrival_rates_[home], {}};
     for (std::size_t zone = 0; zone < 3; ++zone) {
-      const double ended = zone == home ? 50 : random.Below(8);
-      const double size = sizes_[zone];
-      sights.zones.push_back({Name(zone), size, size * available_[zone], ended, ended * good_[zone]});
+      const double attempts = zone == home ? 50 : random.Below(8);
+      const double size = capacities_[zone];
+      report.zones.push_back({Name(zone), size, size * available_[zone], attempts, attempts * timely_[zone]});
     }
-    if (random.Chance(0.01)) sights.zones.push_back({"unlisted", 2, 1, 5, 4});
-    return sights;
+    if (random.Chance(0.01)) report.zones.push_back({"unlisted", 2, 1, 5, 4});
+    return report;
   }
   static std::string Name(std::size_t zone) { return std::string(1, static_cast<char>('a' + zone)); }
 
  private:
   double available_[3] = {1, 1, 1};
-  double good_[3] = {1, 1, 1};
-  double arriving_[3] = {100, 100, 100};
-  double sizes_[3] = {4, 4, 4};
+  double timely_[3] = {1, 1, 1};
+  double arrival_rates_[3] = {100, 100, 100};
+  double capacities_[3] = {4, 4, 4};
 };
 
-class ZonePlayer {
+class ZoneStateScenario {
  public:
-  explicit ZonePlayer(std::uint64_t seed)
+  explicit ZoneStateScenario(std::uint64_t seed)
       : random_(seed),
-        size_(3 + random_.Below(3)),
-        clocks_(size_, random_),
+        gateway_count_(3 + random_.Below(3)),
+        clocks_(gateway_count_, random_),
         network_(random_.Between(0, 0.15), 0.03) {
     times_.lease = {random_.Between(400, 1200), 0.02, random_.Between(20, 100)};
     times_.evaluator.hold_down = random_.Between(500, 2000);
     times_.evaluator.increase_delay = random_.Between(300, 2000);
     times_.evaluator.settling_time = random_.Between(300, 2000);
     times_.proposal_retry_interval = random_.Between(100, 400);
-    for (int g = 0; g < size_; ++g) Start(g);
+    for (int gateway = 0; gateway < gateway_count_; ++gateway) Start(gateway);
   }
 
-  std::uint64_t Play() {
-    for (int i = 0; i < kEvents; ++i) {
+  std::uint64_t Run() {
+    for (int event = 0; event < kEventCount; ++event) {
       clocks_.Advance(random_.Between(0, 8));
       if (random_.Chance(0.0005)) clocks_.Advance(random_.Between(0, 2 * times_.lease.term));
-      PlayOne();
+      RunOneEvent();
     }
-    for (int g = 0; g < size_; ++g) AddStatus(g);
+    for (int gateway = 0; gateway < gateway_count_; ++gateway) AddStatus(gateway);
     return digest_.value();
   }
 
  private:
-  void Start(int g) {
-    if (duties_.size() <= At(g)) duties_.resize(At(g) + 1);
+  void Start(int gateway) {
+    if (coordinators_.size() <= IndexOf(gateway)) coordinators_.resize(IndexOf(gateway) + 1);
     ZoneStateCoordinator::Handlers handlers;
-    handlers.send = [this, g](int to, const CoordinationMessage& word) { Post(g, to, word); };
-    handlers.agreed = [this, g](const ZoneAgreement& state) { OnAgreement(g, state); };
-    duties_[At(g)] =
-        std::make_unique<ZoneStateCoordinator>(g, size_, times_, clocks_.Now(g), clocks_.Elapsed(), handlers);
+    handlers.send = [this, gateway](int to, const CoordinationMessage& payload) {
+      SendAndRecord(gateway, to, payload);
+    };
+    handlers.agreed = [this, gateway](const ZoneAgreement& state) { OnAgreement(gateway, state); };
+    coordinators_[IndexOf(gateway)] = std::make_unique<ZoneStateCoordinator>(
+        gateway, gateway_count_, times_, clocks_.Now(gateway), clocks_.Elapsed(), handlers);
   }
 
-  void PlayOne() {
+  void RunOneEvent() {
     const int kind = random_.Below(10000);
-    int g = random_.Below(size_);
-    ZoneStateCoordinator& duty = *duties_[At(g)];
+    int gateway = random_.Below(gateway_count_);
+    ZoneStateCoordinator& coordinator = *coordinators_[IndexOf(gateway)];
     if (kind < 8300) {
       network_.DeliverOne(random_, [&](const auto& datagram) {
-        g = datagram.to;
-        duties_[At(g)]->OnMessage(clocks_.Now(g), datagram.from, datagram.message);
+        gateway = datagram.to;
+        coordinators_[IndexOf(gateway)]->OnMessage(clocks_.Now(gateway), datagram.from, datagram.message);
       });
     } else if (kind < 9800) {
-      Tick(g);
+      Tick(gateway);
     } else if (kind < 9825) {
-      weather_.Change(random_);
+      observed_zones_.Change(random_);
     } else if (kind < 9880) {
-      const int from = random_.Below(size_);
-      duty.OnMessage(clocks_.Now(g), from, AnyWord());
+      const int from = random_.Below(gateway_count_);
+      coordinator.OnMessage(clocks_.Now(gateway), from, ForgeMessage());
     } else if (kind < 9884) {
-      duty.Stop();
-      Start(g);
+      coordinator.Stop();
+      Start(gateway);
     } else if (kind < 9892) {
-      Start(g);
+      Start(gateway);
     }
-    AddStatus(g);
+    AddStatus(gateway);
   }
 
-  // A heartbeat: the others hear what this gateway observes, except some.
-  void Tick(int g) {
-    const ZoneLoadReport own = weather_.Observe(g, random_);
-    duties_[At(g)]->Tick(clocks_.Now(g), random_.Fraction(), own);
-    for (int to = 0; to < size_; ++to) {
-      if (to != g && random_.Chance(0.9)) duties_[At(to)]->OnLoadReport(clocks_.Now(to), g, own);
+  // A heartbeat: most of the other gateways receive this gateway's load report.
+  void Tick(int gateway) {
+    const ZoneLoadReport own = observed_zones_.Observe(gateway, random_);
+    coordinators_[IndexOf(gateway)]->Tick(clocks_.Now(gateway), random_.Fraction(), own);
+    for (int to = 0; to < gateway_count_; ++to) {
+      if (to != gateway && random_.Chance(0.9))
+        coordinators_[IndexOf(to)]->OnLoadReport(clocks_.Now(to), gateway, own);
     }
   }
 
-  // A message that nobody sent; its numbers are near those in use.
-  CoordinationMessage AnyWord() {
-    const ZoneAgreement& agreed = duties_[random_.Index(duties_.size())]->agreed();
+  // A message that no gateway sent, with numbers near those in use.
+  CoordinationMessage ForgeMessage() {
+    const ZoneAgreement& agreed = coordinators_[random_.Index(coordinators_.size())]->agreed();
     const FencingToken token = agreed.term + random_.Next() % 3;
     if (random_.Chance(0.3)) return ZoneStateVote{token, agreed.version + random_.Next() % 2};
-    ZoneStateAnnouncement word;
-    word.kind = static_cast<ZoneStateAnnouncement::Kind>(random_.Below(3));
-    word.token = token;
-    word.state = agreed;
-    word.state.version += random_.Next() % 2;
-    return word;
+    ZoneStateAnnouncement payload;
+    payload.kind = static_cast<ZoneStateAnnouncement::Kind>(random_.Below(3));
+    payload.token = token;
+    payload.state = agreed;
+    payload.state.version += random_.Next() % 2;
+    return payload;
   }
 
-  void OnAgreement(int g, const ZoneAgreement& state) {
-    digest_.Add(g);
+  void OnAgreement(int gateway, const ZoneAgreement& state) {
+    digest_.Add(gateway);
     digest_.Add(state.term);
     digest_.Add(state.version);
     for (const ZoneAgreement::Zone& zone : state.zones) {
@@ -453,37 +464,39 @@
     }
   }
 
-  void Post(int from, int to, const CoordinationMessage& word) {
+  void SendAndRecord(int from, int to, const CoordinationMessage& payload) {
     digest_.Add(from);
     digest_.Add(to);
-    digest_.Add(ToBytes("g" + std::to_string(from), LeaseRole::kZoneState, word));
-    network_.Send(from, to, word);
+    digest_.Add(ToBytes("g" + std::to_string(from), LeaseRole::kZoneState, payload));
+    network_.Send(from, to, payload);
   }
 
-  void AddStatus(int g) { digest_.Add(duties_[At(g)]->Status(clocks_.Now(g)).dump()); }
+  void AddStatus(int gateway) {
+    digest_.Add(coordinators_[IndexOf(gateway)]->Status(clocks_.Now(gateway)).dump());
+  }
 
   SplitMix64 random_;
-  const int size_;
+  const int gateway_count_;
   Clocks clocks_;
   UnreliableNetwork<CoordinationMessage> network_;
   ZoneStateCoordinator::Times times_;
-  ZoneWeather weather_;
-  std::vector<std::unique_ptr<ZoneStateCoordinator>> duties_;
+  ObservedZones observed_zones_;
+  std::vector<std::unique_ptr<ZoneStateCoordinator>> coordinators_;
   Digest digest_;
 };
 
-// ---- Evaluating zones ------------------------------------------------------------------------
+// ---- Zone health -----------------------------------------------------------------------------
 
-class JudgePlayer {
+class ZoneHealthScenario {
  public:
-  explicit JudgePlayer(std::uint64_t seed)
-      : random_(seed), size_(3 + random_.Below(4)), judge_(size_, DrawTimes(random_)) {}
+  explicit ZoneHealthScenario(std::uint64_t seed)
+      : random_(seed), gateway_count_(3 + random_.Below(4)), evaluator_(gateway_count_, DrawTimes(random_)) {}
 
-  std::uint64_t Play() {
-    for (int i = 0; i < kEvents; ++i) {
+  std::uint64_t Run() {
+    for (int event = 0; event < kEventCount; ++event) {
       now_ += random_.Between(0, 60);
       if (random_.Chance(0.002)) now_ += random_.Between(0, 100000);
-      PlayOne();
+      RunOneEvent();
     }
     AddState();
     return digest_.value();
@@ -501,38 +514,38 @@
     return times;
   }
 
-  void PlayOne() {
+  void RunOneEvent() {
     const int kind = random_.Below(10000);
-    const int g = random_.Below(size_);
+    const int gateway = random_.Below(gateway_count_);
     if (kind < 6500) {
-      const ZoneLoadReport sights = weather_.Observe(g, random_);
-      judge_.OnLoadReport(now_, g, sights);
+      const ZoneLoadReport report = observed_zones_.Observe(gateway, random_);
+      evaluator_.OnLoadReport(now_, gateway, report);
     } else if (kind < 9800) {
-      Ask();
+      EvaluateOnce();
     } else if (kind < 9850) {
-      weather_.Change(random_);
+      observed_zones_.Change(random_);
     } else if (kind < 9880) {
-      Replace();
+      AdoptForeignAgreement();
     }
   }
 
-  void Ask() {
-    const auto next = judge_.Evaluate(now_, agreed_);
-    digest_.Add(next.has_value());
-    if (!next || random_.Chance(0.1)) return;  // not agreed to
-    judge_.OnAgreement(now_, agreed_, *next);
-    agreed_ = *next;
+  void EvaluateOnce() {
+    const auto proposal = evaluator_.Evaluate(now_, agreed_);
+    digest_.Add(proposal.has_value());
+    if (!proposal || random_.Chance(0.1)) return;  // not adopted
+    evaluator_.OnAgreement(now_, agreed_, *proposal);
+    agreed_ = *proposal;
     AddState();
   }
 
-  // Another gateway's proposal came into force.
-  void Replace() {
-    std::vector<ZoneAgreement::Zone> next = agreed_;
-    for (ZoneAgreement::Zone& zone : next) {
+  // A state that another gateway proposed is adopted.
+  void AdoptForeignAgreement() {
+    std::vector<ZoneAgreement::Zone> proposal = agreed_;
+    for (ZoneAgreement::Zone& zone : proposal) {
       if (random_.Chance(0.5)) zone.health = 0.1 * random_.Below(11);
     }
-    judge_.OnAgreement(now_, agreed_, next);
-    agreed_ = next;
+    evaluator_.OnAgreement(now_, agreed_, proposal);
+    agreed_ = proposal;
   }
 
   void AddState() {
@@ -545,9 +558,9 @@
   }
 
   SplitMix64 random_;
-  const int size_;
-  ZoneHealthEvaluator judge_;
-  ZoneWeather weather_;
+  const int gateway_count_;
+  ZoneHealthEvaluator evaluator_;
+  ObservedZones observed_zones_;
   std::vector<ZoneAgreement::Zone> agreed_;
   Digest digest_;
   Millis now_ = 1000;
@@ -569,12 +582,12 @@
   return text;
 }
 
-template <class Player>
+template <class Scenario>
 void ExpectRecordedDigests(const std::string& machine) {
   const auto recorded = RecordedDigests();
   for (const std::uint64_t seed : kSeeds) {
     const std::string name = machine + " " + std::to_string(seed);
-    const std::string digest = ToHex(Player(seed).Play());
+    const std::string digest = ToHex(Scenario(seed).Run());
     if (const char* const path = std::getenv("MEADOWYARD_WRITE_DIGESTS")) {
       std::ofstream(path, std::ios::app) << name << " " << digest << "\n";
       continue;
@@ -584,26 +597,27 @@
   }
 }
 
-TEST(CoordinationCharacterization, LeaseKeepsEveryDecision) { ExpectRecordedDigests<LeasePlayer>("lease"); }
+TEST(CoordinationCharacterization, LeaseKeepsEveryDecision) { ExpectRecordedDigests<LeaseScenario>("lease"); }
 
 TEST(CoordinationCharacterization, EndpointListLeaderKeepsEveryDecision) {
-  ExpectRecordedDigests<ListPlayer>("endpoint_list");
+  ExpectRecordedDigests<EndpointListScenario>("endpoint_list");
 }
 
 TEST(CoordinationCharacterization, ZoneStateCoordinatorKeepsEveryDecision) {
-  ExpectRecordedDigests<ZonePlayer>("zone_state");
+  ExpectRecordedDigests<ZoneStateScenario>("zone_state");
 }
 
 TEST(CoordinationCharacterization, ZoneHealthEvaluatorKeepsEveryDecision) {
-  ExpectRecordedDigests<JudgePlayer>("zone_health");
+  ExpectRecordedDigests<ZoneHealthScenario>("zone_health");
 }
 
-// The digests can fail: one random draw more, which shifts the time of one event, is noticed.
+// The digests can fail: a difference as small as one more random draw, which shifts the time of one event,
+// changes them.
 TEST(CoordinationCharacterization, OtherSeedGivesOtherDigest) {
-  EXPECT_NE(LeasePlayer(1).Play(), LeasePlayer(2).Play());
-  EXPECT_NE(ListPlayer(1).Play(), ListPlayer(2).Play());
-  EXPECT_NE(ZonePlayer(1).Play(), ZonePlayer(2).Play());
-  EXPECT_NE(JudgePlayer(1).Play(), JudgePlayer(2).Play());
+  EXPECT_NE(LeaseScenario(1).Run(), LeaseScenario(2).Run());
+  EXPECT_NE(EndpointListScenario(1).Run(), EndpointListScenario(2).Run());
+  EXPECT_NE(ZoneStateScenario(1).Run(), ZoneStateScenario(2).Run());
+  EXPECT_NE(ZoneHealthScenario(1).Run(), ZoneHealthScenario(2).Run());
 }
 
 }  // namespace
--- a/tests/coordination/message_fixtures_test.cpp
+++ b/tests/coordination/message_fixtures_test.cpp
@@ -1,8 +1,9 @@
-// Messages between gateways, as the program of commit ff1d420 wrote them. Gateways of both versions run side
-// by side during an upgrade: each message must still be read, and be written byte by byte as before.
+// Coordination messages as the program of commit ff1d420 encoded them. Gateways of both versions run side by
+// side during an upgrade: each recorded message must still be decoded, and be encoded to the same bytes as
+// before.
 //
-// tests/fixtures/ff1d420/coordination_messages.txt holds one message a line: its name and its bytes in hex.
-// The file is never written anew; a new kind of message gets a fixture of its own version.
+// tests/fixtures/ff1d420/coordination_messages.txt holds one message per line: its name and its bytes in hex.
+// The file is never recorded again; a new kind of message gets a fixture of its own version.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -64,7 +65,7 @@
   EndpointListPart part;
   part.token = 77825;
   part.revision = 4711;
-  part.after = 4709;
+  part.base_revision = 4709;
   part.complete = complete;
   part.part = 1;
   part.parts = 3;
@@ -77,82 +78,85 @@
   EndpointListPart part;
   part.token = 77825;
   part.revision = 4711;
-  part.after = 4711;
+  part.base_revision = 4711;
   return part;
 }
 
-Lease::Message MakeLeaseWord(Lease::Message::Type type, FencingToken seen, int holder) {
-  Lease::Message word;
-  word.type = type;
-  word.token = 5000000257;
-  word.highest_promised = seen;
-  word.owner = holder;
-  return word;
+Lease::Message MakeLeaseMessage(Lease::Message::Type type, FencingToken highest_promised_token, int holder) {
+  Lease::Message payload;
+  payload.type = type;
+  payload.token = 5000000257;
+  payload.highest_promised = highest_promised_token;
+  payload.owner = holder;
+  return payload;
 }
 
-ZoneStateAnnouncement MakeZonesWord(ZoneStateAnnouncement::Kind kind, FencingToken token) {
-  ZoneStateAnnouncement word;
-  word.kind = kind;
-  word.token = token;
-  word.state.term = 66049;
-  word.state.version = 12;
-  word.state.zones = {{"north", 1, 12.5, 433.25}, {"south", 0.30000000000000004, 8, 0}, {"", 0, 0, 1e-3}};
-  return word;
+ZoneStateAnnouncement MakeZoneStateAnnouncement(ZoneStateAnnouncement::Kind kind, FencingToken token) {
+  ZoneStateAnnouncement payload;
+  payload.kind = kind;
+  payload.token = token;
+  payload.state.term = 66049;
+  payload.state.version = 12;
+  payload.state.zones = {{"north", 1, 12.5, 433.25}, {"south", 0.30000000000000004, 8, 0}, {"", 0, 0, 1e-3}};
+  return payload;
 }
 
 struct Sample {
   std::string name;
-  LeaseRole duty = LeaseRole::kEndpointList;
-  CoordinationMessage word;
+  LeaseRole expected_role = LeaseRole::kEndpointList;
+  CoordinationMessage payload;
 };
 
 std::vector<Sample> Samples() {
   using Kind = Lease::Message::Type;
   return {
-      {"lease_ask", LeaseRole::kEndpointList, MakeLeaseWord(Kind::kPrepareRequest, 0, -1)},
-      {"lease_promise_open", LeaseRole::kEndpointList, MakeLeaseWord(Kind::kPrepareResponse, 0, -1)},
-      {"lease_promise_held", LeaseRole::kZoneState, MakeLeaseWord(Kind::kPrepareResponse, 0, 2)},
-      {"lease_offer", LeaseRole::kZoneState, MakeLeaseWord(Kind::kProposeRequest, 0, 1)},
-      {"lease_taken", LeaseRole::kEndpointList, MakeLeaseWord(Kind::kProposeResponse, 0, 1)},
-      {"lease_no", LeaseRole::kZoneState, MakeLeaseWord(Kind::kReject, 5000000513, -1)},
+      {"lease_ask", LeaseRole::kEndpointList, MakeLeaseMessage(Kind::kPrepareRequest, 0, -1)},
+      {"lease_promise_open", LeaseRole::kEndpointList, MakeLeaseMessage(Kind::kPrepareResponse, 0, -1)},
+      {"lease_promise_held", LeaseRole::kZoneState, MakeLeaseMessage(Kind::kPrepareResponse, 0, 2)},
+      {"lease_offer", LeaseRole::kZoneState, MakeLeaseMessage(Kind::kProposeRequest, 0, 1)},
+      {"lease_taken", LeaseRole::kEndpointList, MakeLeaseMessage(Kind::kProposeResponse, 0, 1)},
+      {"lease_no", LeaseRole::kZoneState, MakeLeaseMessage(Kind::kReject, 5000000513, -1)},
       {"list_part_of_a_delta", LeaseRole::kEndpointList, MakeListPart(false)},
       {"list_part_of_a_snapshot", LeaseRole::kEndpointList, MakeListPart(true)},
       {"list_revision_only", LeaseRole::kEndpointList, MakeRevisionOnly()},
       {"list_wanted", LeaseRole::kEndpointList, EndpointListRequest{77825}},
-      {"zones_offer", LeaseRole::kZoneState, MakeZonesWord(ZoneStateAnnouncement::Kind::kProposed, 66049)},
-      {"zones_agreed", LeaseRole::kZoneState, MakeZonesWord(ZoneStateAnnouncement::Kind::kCommitted, 66305)},
-      {"zones_known", LeaseRole::kZoneState, MakeZonesWord(ZoneStateAnnouncement::Kind::kNewer, 0)},
+      {"zones_offer", LeaseRole::kZoneState,
+       MakeZoneStateAnnouncement(ZoneStateAnnouncement::Kind::kProposed, 66049)},
+      {"zones_agreed", LeaseRole::kZoneState,
+       MakeZoneStateAnnouncement(ZoneStateAnnouncement::Kind::kCommitted, 66305)},
+      {"zones_known", LeaseRole::kZoneState,
+       MakeZoneStateAnnouncement(ZoneStateAnnouncement::Kind::kNewer, 0)},
       {"zones_vote", LeaseRole::kZoneState, ZoneStateVote{66049, 12}},
   };
 }
 
-TEST(MessageFixtures, OldMessageReadAndWrittenAgainHasTheSameBytes) {
+TEST(MessageFixtures, RecordedMessageDecodedAndEncodedAgainHasTheSameBytes) {
   const auto recorded = RecordedMessages();
   ASSERT_EQ(recorded.size(), Samples().size());
   for (const auto& [name, bytes] : recorded) {
-    const auto read = DecodeMessage(bytes.data(), bytes.size());
-    ASSERT_TRUE(read) << name;
-    EXPECT_EQ(read->sender, "gateway-1") << name;
-    EXPECT_EQ(ToHex(ToBytes(read->sender, read->role, read->message)), ToHex(bytes)) << name;
+    const auto decoded = DecodeMessage(bytes.data(), bytes.size());
+    ASSERT_TRUE(decoded) << name;
+    EXPECT_EQ(decoded->sender, "gateway-1") << name;
+    EXPECT_EQ(ToHex(ToBytes(decoded->sender, decoded->role, decoded->message)), ToHex(bytes)) << name;
   }
 }
 
-TEST(MessageFixtures, MessageIsWrittenAsTheOldProgramWroteIt) {
+TEST(MessageFixtures, MessageIsEncodedAsRecorded) {
   auto recorded = RecordedMessages();
   for (const Sample& sample : Samples()) {
-    const Bytes bytes = ToBytes("gateway-1", sample.duty, sample.word);
+    const Bytes bytes = ToBytes("gateway-1", sample.expected_role, sample.payload);
     EXPECT_EQ(ToHex(bytes), ToHex(recorded[sample.name])) << sample.name;
   }
 }
 
-TEST(MessageFixtures, OldMessageHasItsRoleAndItsKind) {
+TEST(MessageFixtures, RecordedMessageHasItsRoleAndKind) {
   auto recorded = RecordedMessages();
   for (const Sample& sample : Samples()) {
     const Bytes& bytes = recorded[sample.name];
-    const auto read = DecodeMessage(bytes.data(), bytes.size());
-    ASSERT_TRUE(read) << sample.name;
-    EXPECT_EQ(read->role, sample.duty) << sample.name;
-    EXPECT_EQ(read->message.index(), sample.word.index()) << sample.name;
+    const auto decoded = DecodeMessage(bytes.data(), bytes.size());
+    ASSERT_TRUE(decoded) << sample.name;
+    EXPECT_EQ(decoded->role, sample.expected_role) << sample.name;
+    EXPECT_EQ(decoded->message.index(), sample.payload.index()) << sample.name;
   }
 }
 
--- a/tests/coordination/random_sequence.hpp
+++ b/tests/coordination/random_sequence.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Tools of the characterization test: a generator of random sequences, a digest and an unreliable network,
-/// all of which give the same results with every compiler, library and optimization level.
+/// Helpers of the characterization test: a random generator, a digest and an unreliable network. They give
+/// the same results with every compiler, library and optimization level.
 #ifndef MEADOWYARD_TESTS_COORDINATION_RANDOM_SEQUENCE_HPP_
 #define MEADOWYARD_TESTS_COORDINATION_RANDOM_SEQUENCE_HPP_
 
@@ -59,7 +59,8 @@
   std::uint64_t hash_ = 1469598103934665603ULL;
 };
 
-/// Messages under way between numbered gateways. They arrive in any order, some twice and some never.
+/// Messages in flight between gateways, which are given by their index. They arrive in any order, some more
+/// than once and some never.
 template <class Message>
 class UnreliableNetwork {
  public:
@@ -69,27 +70,26 @@
     Message message;
   };
 
-  /// A longer queue drops its oldest message, so that senders that nobody reads from do not fill it.
+  /// A longer queue drops its oldest message, so that it does not grow while more is sent than delivered.
   static constexpr std::size_t kMaxDatagrams = 200;
 
   UnreliableNetwork(double loss, double duplication) : loss_(loss), duplication_(duplication) {}
 
   void Send(int from, int to, Message message) {
-    under_way_.push_back({from, to, std::move(message)});
-    if (under_way_.size() > kMaxDatagrams) under_way_.erase(under_way_.begin());
+    in_flight_.push_back({from, to, std::move(message)});
+    if (in_flight_.size() > kMaxDatagrams) in_flight_.erase(in_flight_.begin());
   }
-  [[nodiscard]] bool empty() const { return under_way_.empty(); }
+  [[nodiscard]] bool empty() const { return in_flight_.empty(); }
 
-  /// Takes one message off the network, mostly one of the oldest, and hands it to `deliver` unless it is
-  /// lost.
+  /// Passes one message, mostly the oldest, to `deliver` unless it is lost. A duplicated one stays in flight.
   template <class Deliver>
   void DeliverOne(SplitMix64& random, const Deliver& deliver) {
-    if (under_way_.empty()) return;
+    if (in_flight_.empty()) return;
     const bool in_order = random.Chance(0.7);
-    const std::size_t index = in_order ? 0 : random.Index(under_way_.size());
-    const Datagram datagram = under_way_[index];
+    const std::size_t index = in_order ? 0 : random.Index(in_flight_.size());
+    const Datagram datagram = in_flight_[index];
     if (!random.Chance(duplication_)) {
-      under_way_.erase(under_way_.begin() + static_cast<std::ptrdiff_t>(index));
+      in_flight_.erase(in_flight_.begin() + static_cast<std::ptrdiff_t>(index));
     }
     if (random.Chance(loss_)) return;
     deliver(datagram);
@@ -98,7 +98,7 @@
  private:
   const double loss_;
   const double duplication_;
-  std::vector<Datagram> under_way_;
+  std::vector<Datagram> in_flight_;
 };
 
 }  // namespace meadowyard::testing
