--- a/tests/coordination/cbor_reader_test.cpp
+++ b/tests/coordination/cbor_reader_test.cpp
@@ -1,4 +1,5 @@
-// Bounds-checked reading of CBOR.
+// Bounds-checked reading of CBOR: no datagram may make the reader exceed its limits, or return a value of
+// another type or out of range.
 #include "coordination/cbor_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -39,7 +40,7 @@
   EXPECT_THROW((void)DecodeCborMap(json::to_cbor(json::array({1})), 100), ProtocolError);
 }
 
-TEST(CborValue, Field_HasToBeThere) {
+TEST(CborValue, Field_HasToExist) {
   const json map = {{"a", 1u}};
   const CborValue value(map, "message");
   EXPECT_TRUE(value.Has("a"));
@@ -109,7 +110,7 @@
   const json map = {{"count", "many"}};
   try {
     (void)CborValue(map, "message").Field("count").Unsigned();
-    FAIL() << "no error";
+    FAIL() << "no exception";
   } catch (const ProtocolError& error) {
     EXPECT_EQ(std::string(error.what()).rfind("count: ", 0), 0u) << error.what();
   }
