--- a/tests/coordination/zone_test.cpp
+++ b/tests/coordination/zone_test.cpp
@@ -1,5 +1,6 @@
-// Where requests go by zones: what each gateway makes of what was agreed, when that changes, and that nobody
-// goes by what more than half have not agreed. No sockets, no real time.
+// Routing by zone: the weights that a gateway derives from an agreed zone state, when the evaluator proposes
+// another state, and that no gateway applies a state without the votes of a majority. No sockets, no real
+// time.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,475 +22,522 @@
 
 using Zone = ZoneAgreement::Zone;
 
-Settings Near(const std::string& zone) {
-  Settings s;
-  TrafficClassSettings c;
-  c.name = "view", c.latency_objective = 1000, c.deadline = 2000, c.idempotency = Idempotency::kIdempotent;
-  s.classes = {c};
-  s.zone = zone;
-  s.zone_routing.enabled = true;
-  return s;
+Settings SettingsInZone(const std::string& zone) {
+  Settings settings;
+  TrafficClassSettings traffic_class;
+  traffic_class.name = "view", traffic_class.latency_objective = 1000, traffic_class.deadline = 2000,
+  traffic_class.idempotency = Idempotency::kIdempotent;
+  settings.classes = {traffic_class};
+  settings.zone = zone;
+  settings.zone_routing.enabled = true;
+  return settings;
 }
 
-struct Spread {
+struct ZoneWeightCase {
   std::string name;
-  std::vector<Zone> zones;  // this gateway stands in a; a and b are of one region
-  std::map<std::string, double> parts;
-  double refused = 0;
+  std::vector<Zone> zones;  // this gateway is in zone a; a and b are in one region
+  std::map<std::string, double> weights;
+  double rejected = 0;
 };
-std::ostream& operator<<(std::ostream& out, const Spread& s) { return out << s.name; }
+std::ostream& operator<<(std::ostream& out, const ZoneWeightCase& weight_case) {
+  return out << weight_case.name;
+}
 
-class Parts : public ::testing::TestWithParam<Spread> {};
+// Guards against requests that leave a zone which could serve them, and against zones that are sent more than
+// their capacity: what no zone can serve is rejected at once.
+class ZoneRoutingWeights : public ::testing::TestWithParam<ZoneWeightCase> {};
 
-TEST_P(Parts, GoNearFirstAndNoFurtherThanThereIsRoom) {
-  const Spread& c = GetParam();
-  Settings s = Near("a");
-  s.zone_routing.regions = {{"a", 0}, {"b", 0}, {"c", 1}};
-  Policy policy(s, 1);
+TEST_P(ZoneRoutingWeights, PreferOwnZoneThenOwnRegionWithinTheirCapacity) {
+  const ZoneWeightCase& parameters = GetParam();
+  Settings settings = SettingsInZone("a");
+  settings.zone_routing.regions = {{"a", 0}, {"b", 0}, {"c", 1}};
+  Policy policy(settings, 1);
   std::vector<Action> actions;
-  policy.Handle(0, ZoneAgreement{5, 1, c.zones}, actions);
-  std::map<std::string, double> parts;
-  double all = 0;
-  for (const auto& [zone, part] : policy.ZoneWeights()) parts[zone] += part, all += part;
-  for (const auto& [zone, part] : c.parts) EXPECT_NEAR(parts[zone], part, 0.01) << zone;
-  EXPECT_NEAR(1 - all, c.parts.empty() ? 1 : c.refused, 0.01);
-  // What is refused is refused at once, and says so.
+  policy.Handle(0, ZoneAgreement{5, 1, parameters.zones}, actions);
+  std::map<std::string, double> weights;
+  double total_weight = 0;
+  for (const auto& [zone, weight] : policy.ZoneWeights()) weights[zone] += weight, total_weight += weight;
+  for (const auto& [zone, weight] : parameters.weights) EXPECT_NEAR(weights[zone], weight, 0.01) << zone;
+  EXPECT_NEAR(1 - total_weight, parameters.weights.empty() ? 1 : parameters.rejected, 0.01);
+  // The rest is rejected at once, not queued.
   actions.clear();
-  int refused = 0;
+  int rejected = 0;
   for (int i = 0; i < 1000; ++i) {
-    Request r;
-    r.id = std::to_string(i), r.class_name = "view", r.time_left = 2000;
-    policy.Handle(1, r, actions);
-    policy.Handle(1, ClientDisconnected{r.id}, actions);  // or the queue would be full
+    Request new_request;
+    new_request.id = std::to_string(i), new_request.class_name = "view", new_request.time_left = 2000;
+    policy.Handle(1, new_request, actions);
+    policy.Handle(1, ClientDisconnected{new_request.id}, actions);  // keeps the queue from filling up
   }
-  for (const Action& a : actions) refused += std::holds_alternative<Reject>(a);
-  EXPECT_NEAR(refused / 1000.0, c.refused, 0.06);
+  for (const Action& a : actions) rejected += std::holds_alternative<Reject>(a);
+  EXPECT_NEAR(rejected / 1000.0, parameters.rejected, 0.06);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Of, Parts,
+    Agreements, ZoneRoutingWeights,
     ::testing::Values(
-        Spread{"AllFit", {{"a", 1, 4, 100}, {"b", 1, 4, 100}, {"c", 1, 4, 100}}, {{"a", 1}}},
-        Spread{"FitEnough", {{"a", 0.8, 4, 100}, {"b", 1, 4, 100}}, {{"a", 1}}},
-        Spread{
-            "HalfLost", {{"a", 0.5, 4, 100}, {"b", 1, 4, 100}, {"c", 1, 4, 100}}, {{"a", 0.7}, {"b", 0.3}}},
-        Spread{"OnDiscoveryFailed",
-               {{"a", 0, 4, 100}, {"b", 1, 4, 100}, {"c", 1, 4, 100}},
-               {{"a", 0}, {"b", 0.67}, {"c", 0.33}}},
-        Spread{"NoRoomNearby",  // b, twice as busy, takes nothing from others; c is in another region
-               {{"a", 0, 4, 100}, {"b", 1, 4, 200}, {"c", 1, 4, 0}},
-               {{"b", 0}, {"c", 1}}},
-        Spread{"RoomForAPart",  // b has room for its own 90 again; c for none
-               {{"a", 0, 4, 180}, {"b", 1, 4, 90}, {"c", 0.5, 4, 0}},
-               {{"b", 0.5}, {"c", 0}},
-               0.5},
-        Spread{"NoRoomAnywhere",  // its own limits decide
-               {{"a", 0.5, 4, 100}, {"b", 0.5, 4, 100}, {"c", 0.5, 4, 100}},
-               {{"a", 1}}},
-        Spread{"AllButOneFailed", {{"a", 0, 4, 100}, {"b", 0, 4, 100}, {"c", 1, 4, 100}}, {{"c", 0.5}}, 0.5},
-        Spread{
+        ZoneWeightCase{"AllHealthy", {{"a", 1, 4, 100}, {"b", 1, 4, 100}, {"c", 1, 4, 100}}, {{"a", 1}}},
+        ZoneWeightCase{"OwnZoneHealthyEnough", {{"a", 0.8, 4, 100}, {"b", 1, 4, 100}}, {{"a", 1}}},
+        ZoneWeightCase{"HalfOfOwnZoneFailed",
+                       {{"a", 0.5, 4, 100}, {"b", 1, 4, 100}, {"c", 1, 4, 100}},
+                       {{"a", 0.7}, {"b", 0.3}}},
+        ZoneWeightCase{"OwnZoneFailed",
+                       {{"a", 0, 4, 100}, {"b", 1, 4, 100}, {"c", 1, 4, 100}},
+                       {{"a", 0}, {"b", 0.67}, {"c", 0.33}}},
+        // b has twice the demand and accepts nothing from others; c is in another region
+        ZoneWeightCase{"NoCapacityInOwnRegion",
+                       {{"a", 0, 4, 100}, {"b", 1, 4, 200}, {"c", 1, 4, 0}},
+                       {{"b", 0}, {"c", 1}}},
+        ZoneWeightCase{"CapacityForAPart",  // b can serve another 90, as much as its own demand; c nothing
+                       {{"a", 0, 4, 180}, {"b", 1, 4, 90}, {"c", 0.5, 4, 0}},
+                       {{"b", 0.5}, {"c", 0}},
+                       0.5},
+        ZoneWeightCase{"NoCapacityAnywhere",  // requests stay; the gateway's own limits apply
+                       {{"a", 0.5, 4, 100}, {"b", 0.5, 4, 100}, {"c", 0.5, 4, 100}},
+                       {{"a", 1}}},
+        ZoneWeightCase{
+            "AllButOneFailed", {{"a", 0, 4, 100}, {"b", 0, 4, 100}, {"c", 1, 4, 100}}, {{"c", 0.5}}, 0.5},
+        ZoneWeightCase{
             "MostFailedEverywhere", {{"a", 0.1, 4, 100}, {"b", 0.3, 4, 100}, {"c", 0.2, 4, 100}}, {{"a", 1}}},
-        Spread{"ColdOnesTakeLittle",
-               {{"a", 0, 4, 100}, {"b", 0.6, 4, 100}, {"c", 1, 4, 100}},
-               {{"b", 0}, {"c", 0.87}},
-               0.13},
-        Spread{"NoHostsHere", {{"a", 0, 0, 50}, {"b", 1, 6, 100}, {"c", 1, 6, 100}}, {{"b", 1}}},
-        Spread{"NothingAsked", {{"a", 0, 4, 0}, {"b", 1, 4, 0}}, {{"b", 1}}},
-        Spread{"NotAmongThem", {{"b", 1, 4, 100}, {"c", 1, 4, 100}}, {}}),
+        ZoneWeightCase{"PartlyHealthyZoneAcceptsNothing",
+                       {{"a", 0, 4, 100}, {"b", 0.6, 4, 100}, {"c", 1, 4, 100}},
+                       {{"b", 0}, {"c", 0.87}},
+                       0.13},
+        ZoneWeightCase{
+            "NoEndpointsInOwnZone", {{"a", 0, 0, 50}, {"b", 1, 6, 100}, {"c", 1, 6, 100}}, {{"b", 1}}},
+        ZoneWeightCase{"NoDemand", {{"a", 0, 4, 0}, {"b", 1, 4, 0}}, {{"b", 1}}},
+        ZoneWeightCase{"OwnZoneNotInAgreement", {{"b", 1, 4, 100}, {"c", 1, 4, 100}}, {}}),
     [](const auto& info) { return info.param.name; });
 
-// A gateway that no quorum has told of anything does not leave its zone, however dead that is.
-TEST(Locality, IsNoFailoverOfOnesOwn) {
-  Policy policy(Near("a"), 1);
-  EndpointUpdate news;
+// A gateway that routed away from its zone on its own observations would move load that no other gateway
+// expects. It leaves its zone only by a newer agreement, even if the zone has lost all endpoints.
+TEST(ZoneRouting, LeavesTheOwnZoneOnlyByAgreement) {
+  Policy policy(SettingsInZone("a"), 1);
+  EndpointUpdate update;
   for (const char* const id : {"a1", "a2", "b1", "b2"}) {
-    Endpoint server;
-    server.id = id, server.zone = std::string(id, 1);
-    news.endpoints.push_back(server);
+    Endpoint listed_endpoint;
+    listed_endpoint.id = id, listed_endpoint.zone = std::string(id, 1);
+    update.endpoints.push_back(listed_endpoint);
   }
-  std::map<std::string, int> sent;  // by zone; each is answered at once
-  std::function<void(Millis, const Event&)> tell = [&](Millis now, const Event& event) {
+  std::map<std::string, int> sent;  // by zone; each attempt is answered at once
+  std::function<void(Millis, const Event&)> handle = [&](Millis now, const Event& event) {
     std::vector<Action> out;
     policy.Handle(now, event, out);
     for (const Action& a : out) {
       const auto* const send = std::get_if<StartAttempt>(&a);
       if (send == nullptr) continue;
       ++sent[send->endpoint.substr(0, 1)];
-      AttemptOutcome o;
-      o.request = send->request, o.endpoint = send->endpoint, o.latency = 5;
-      tell(now, o);
+      AttemptOutcome outcome;
+      outcome.request = send->request, outcome.endpoint = send->endpoint, outcome.latency = 5;
+      handle(now, outcome);
     }
   };
-  int number = 0;
-  const auto during = [&](Millis from, Millis to) {
+  int request_count = 0;
+  const auto sent_between = [&](Millis from, Millis to) {
     sent.clear();
     for (Millis now = from; now < to; now += 10) {
-      Request r;
-      r.id = std::to_string(++number), r.class_name = "view", r.time_left = 2000;
-      tell(now, r);
-      tell(now, TimerExpired{"sweep"});
+      Request new_request;
+      new_request.id = std::to_string(++request_count), new_request.class_name = "view",
+      new_request.time_left = 2000;
+      handle(now, new_request);
+      handle(now, TimerExpired{"sweep"});
     }
     return sent;
   };
-  tell(0, news);
-  tell(0, ZoneAgreement{9, 2, {{"a", 1, 2, 10}, {"b", 1, 2, 10}}});
-  EXPECT_GT(during(0, 1000)["a"], 90);
+  handle(0, update);
+  handle(0, ZoneAgreement{9, 2, {{"a", 1, 2, 10}, {"b", 1, 2, 10}}});
+  EXPECT_GT(sent_between(0, 1000)["a"], 90);
   EXPECT_EQ(sent.count("b"), 0u);
-  for (Endpoint& server : news.endpoints) {
-    if (server.zone == "a") server.state = EndpointState::kRemoved;
+  for (Endpoint& listed_endpoint : update.endpoints) {
+    if (listed_endpoint.zone == "a") listed_endpoint.state = EndpointState::kRemoved;
   }
-  tell(1000, news);
-  EXPECT_TRUE(during(1000, 3000).empty()) << "nobody has agreed on that";
-  tell(3000, ZoneAgreement{9, 1, {{"a", 0, 2, 10}, {"b", 1, 2, 10}}});
-  EXPECT_TRUE(during(3000, 4000).empty()) << "older than what is in force";
-  tell(4000, ZoneAgreement{9, 3, {{"a", 0, 2, 10}, {"b", 1, 2, 10}}});
-  EXPECT_GT(during(4000, 5000)["b"], 90);
+  handle(1000, update);
+  EXPECT_TRUE(sent_between(1000, 3000).empty()) << "routed to another zone without an agreement";
+  handle(3000, ZoneAgreement{9, 1, {{"a", 0, 2, 10}, {"b", 1, 2, 10}}});
+  EXPECT_TRUE(sent_between(3000, 4000).empty()) << "an older agreement was applied";
+  handle(4000, ZoneAgreement{9, 3, {{"a", 0, 2, 10}, {"b", 1, 2, 10}}});
+  EXPECT_GT(sent_between(4000, 5000)["b"], 90);
 }
 
-// ---- When a change is due --------------------------------------------------------------------
+// ---- Zone health evaluation ------------------------------------------------------------------
 
-// Three gateways, one in each of three zones, and a judge whose proposals come into force at once.
-struct Bench {
-  // What each sees of zone a from now on: the share of its servers that is fit, and of its attempts that is
-  // good.
-  void Tick(Millis ms, const std::function<std::pair<double, double>(double level)>& of_a) {
-    for (const Millis until = now + ms; now < until; now += 100) {
-      for (int g = 0; g < 3; ++g) {
-        ZoneLoadReport sights{std::string(1, static_cast<char>('a' + g)), 100, {}};
+// Three gateways, one in each of three zones, and an evaluator whose proposals are adopted at once.
+struct EvaluatorHarness {
+  // Advances time. `observe_a` gives what the gateway in zone a reports of it: the share of its endpoints
+  // that is available, and the share of its attempts that is timely.
+  void Tick(Millis duration, const std::function<std::pair<double, double>(double level)>& observe_a) {
+    for (const Millis until = now + duration; now < until; now += 100) {
+      for (int gateway = 0; gateway < 3; ++gateway) {
+        ZoneLoadReport report{std::string(1, static_cast<char>('a' + gateway)), 100, {}};
         for (const char* const zone : {"a", "b", "c"}) {
-          const auto [fit, good] =
-              zone == sights.zone && zone[0] == 'a' ? of_a(Level("a")) : std::pair(1.0, 1.0);
-          const double ended = zone == sights.zone ? 100 : 0;
-          sights.zones.push_back({zone, 4, 4 * fit, ended, ended * good});
+          const auto [healthy, timely] =
+              zone == report.zone && zone[0] == 'a' ? observe_a(Level("a")) : std::pair(1.0, 1.0);
+          const double attempts = zone == report.zone ? 100 : 0;
+          report.zones.push_back({zone, 4, 4 * healthy, attempts, attempts * timely});
         }
-        judge.OnLoadReport(now, g, sights);
+        health_evaluator.OnLoadReport(now, gateway, report);
       }
-      if (auto next = judge.Evaluate(now, agreed)) {
-        judge.OnAgreement(now, agreed, *next);
-        falls += agreed.empty() ? 0 : (*next)[0].health < Level("a");
-        agreed = *next;
+      if (auto proposal = health_evaluator.Evaluate(now, agreed)) {
+        health_evaluator.OnAgreement(now, agreed, *proposal);
+        decreases += agreed.empty() ? 0 : (*proposal)[0].health < Level("a");
+        agreed = *proposal;
       }
     }
   }
   double Level(const std::string& zone) const {
-    for (const Zone& z : agreed) {
-      if (z.name == zone) return z.health;
+    for (const Zone& entry : agreed) {
+      if (entry.name == zone) return entry.health;
     }
     return 1;
   }
   Millis now = 1000;
-  ZoneHealthEvaluator judge{3, {}};
+  ZoneHealthEvaluator health_evaluator{3, {}};
   std::vector<Zone> agreed;
-  int falls = 0;
+  int decreases = 0;
 };
 
-TEST(ZoneHealthEvaluator, FollowsWhatTheGatewaysOfAZoneSee) {
+// Guards against a health that ignores unavailable endpoints, or attempts that fail or are not timely.
+TEST(ZoneHealthEvaluator, SetsHealthFromTheReportsOfTheZonesOwnGateways) {
   struct Case {
-    double fit, good, level;
+    double healthy, timely, level;
   };
-  for (const Case& c : {Case{1, 1, 1},
-                        {0.9, 1, 1},
-                        {0.75, 1, 0.8},
-                        {0.5, 1, 0.5},
-                        {1, 0.93, 1},
-                        {1, 0.5, 0.4},
-                        {0.5, 0.5, 0.4},
-                        {1, 0.1, 0.1},
-                        {0.2, 1, 0},
-                        {1, 0.01, 0},
-                        {0, 0, 0}}) {
-    Bench bench;
-    bench.Tick(1000, [](double) { return std::pair(1.0, 1.0); });
-    EXPECT_EQ(bench.Level("a"), 1);
-    bench.Tick(600, [&](double) { return std::pair(c.fit, c.good); });
-    EXPECT_NEAR(bench.Level("a"), c.level, 0.01) << c.fit << ", " << c.good;
-    EXPECT_EQ(bench.Level("b"), 1);
+  for (const Case& parameters : {Case{1, 1, 1},
+                                 {0.9, 1, 1},
+                                 {0.75, 1, 0.8},
+                                 {0.5, 1, 0.5},
+                                 {1, 0.93, 1},
+                                 {1, 0.5, 0.4},
+                                 {0.5, 0.5, 0.4},
+                                 {1, 0.1, 0.1},
+                                 {0.2, 1, 0},
+                                 {1, 0.01, 0},
+                                 {0, 0, 0}}) {
+    EvaluatorHarness harness;
+    harness.Tick(1000, [](double) { return std::pair(1.0, 1.0); });
+    EXPECT_EQ(harness.Level("a"), 1);
+    harness.Tick(600, [&](double) { return std::pair(parameters.healthy, parameters.timely); });
+    EXPECT_NEAR(harness.Level("a"), parameters.level, 0.01)
+        << parameters.healthy << ", " << parameters.timely;
+    EXPECT_EQ(harness.Level("b"), 1);
   }
 }
 
-TEST(ZoneHealthEvaluator, LetsABlinkPassAndComesBackInSteps) {
-  Bench bench;
-  bench.Tick(1000, [](double) { return std::pair(1.0, 1.0); });
-  bench.Tick(200, [](double) { return std::pair(0.0, 0.0); });
-  bench.Tick(1000, [](double) { return std::pair(1.0, 1.0); });
-  EXPECT_EQ(bench.falls, 0);
-  bench.Tick(1000, [](double) { return std::pair(0.0, 0.0); });
-  EXPECT_EQ(bench.Level("a"), 0);
-  bench.Tick(4000, [](double) { return std::pair(1.0, 1.0); });
-  EXPECT_EQ(bench.Level("a"), 0) << "held for a while";
-  bench.Tick(3000, [](double) { return std::pair(1.0, 1.0); });
-  EXPECT_GT(bench.Level("a"), 0);
-  EXPECT_LT(bench.Level("a"), 1) << "in steps";
-  bench.Tick(10000, [](double) { return std::pair(1.0, 1.0); });
-  EXPECT_EQ(bench.Level("a"), 1);
-  EXPECT_EQ(bench.falls, 1);
+// A failure that is shorter than the decrease delay must not move traffic. After a longer one, the full load
+// coming back in one step could overload a zone that is only just recovering.
+TEST(ZoneHealthEvaluator, IgnoresAShortFailureAndIncreasesInSteps) {
+  EvaluatorHarness harness;
+  harness.Tick(1000, [](double) { return std::pair(1.0, 1.0); });
+  harness.Tick(200, [](double) { return std::pair(0.0, 0.0); });
+  harness.Tick(1000, [](double) { return std::pair(1.0, 1.0); });
+  EXPECT_EQ(harness.decreases, 0);
+  harness.Tick(1000, [](double) { return std::pair(0.0, 0.0); });
+  EXPECT_EQ(harness.Level("a"), 0);
+  harness.Tick(4000, [](double) { return std::pair(1.0, 1.0); });
+  EXPECT_EQ(harness.Level("a"), 0) << "increased before the hold-down time";
+  harness.Tick(3000, [](double) { return std::pair(1.0, 1.0); });
+  EXPECT_GT(harness.Level("a"), 0);
+  EXPECT_LT(harness.Level("a"), 1) << "increased in one step";
+  harness.Tick(10000, [](double) { return std::pair(1.0, 1.0); });
+  EXPECT_EQ(harness.Level("a"), 1);
+  EXPECT_EQ(harness.decreases, 1);
 }
 
-// A zone that does well while it gets little and badly as soon as it gets more: an hour of it.
-TEST(ZoneHealthEvaluator, TriesAGrayZoneMoreAndMoreSeldom) {
-  Bench bench;
-  bench.Tick(1000, [](double) { return std::pair(1.0, 1.0); });
-  bench.Tick(3600000, [](double level) { return std::pair(1.0, level > 0.5 ? 0.2 : 1.0); });
-  std::printf("falls in an hour: %d\n", bench.falls);
-  EXPECT_GT(bench.falls, 3) << "it is tried";
-  EXPECT_LE(bench.falls, 20);
-  bench.Tick(400000, [](double) { return std::pair(1.0, 1.0); });
-  EXPECT_EQ(bench.Level("a"), 1) << "and comes back in the end";
+// A gray failure for an hour: the zone is timely under low load and fails under more. With a constant
+// hold-down time, requests would be moved there and fail again and again.
+TEST(ZoneHealthEvaluator, RetriesAZoneThatFailsUnderLoadLessAndLessOften) {
+  EvaluatorHarness harness;
+  harness.Tick(1000, [](double) { return std::pair(1.0, 1.0); });
+  harness.Tick(3600000, [](double level) { return std::pair(1.0, level > 0.5 ? 0.2 : 1.0); });
+  std::printf("decreases in an hour: %d\n", harness.decreases);
+  EXPECT_GT(harness.decreases, 3) << "the zone was not retried";
+  EXPECT_LE(harness.decreases, 20);
+  harness.Tick(400000, [](double) { return std::pair(1.0, 1.0); });
+  EXPECT_EQ(harness.Level("a"), 1) << "the recovered zone was not restored";
 }
 
-TEST(ZoneHealthEvaluator, SaysNothingWhileItHearsOfNoMoreThanHalf) {
-  ZoneHealthEvaluator judge(3, {});
+// A holder without reports of a majority may itself be cut off: what it observes must not move traffic.
+TEST(ZoneHealthEvaluator, ProposesNothingWithoutReportsFromAMajority) {
+  ZoneHealthEvaluator health_evaluator(3, {});
   for (Millis now = 1000; now < 5000; now += 100) {
-    judge.OnLoadReport(now, 0, {"a", 100, {{"a", 4, 0, 100, 0}}});
-    EXPECT_FALSE(judge.Evaluate(now, {{"a", 1, 4, 100}}));
+    health_evaluator.OnLoadReport(now, 0, {"a", 100, {{"a", 4, 0, 100, 0}}});
+    EXPECT_FALSE(health_evaluator.Evaluate(now, {{"a", 1, 4, 100}}));
   }
 }
 
-// A gateway that is cut off keeps its clients: when it comes back they have their part of the room.
-TEST(ZoneHealthEvaluator, CountsOnTheDemandOfThoseItCantHear) {
-  ZoneHealthEvaluator judge(3, {});
+// A gateway that is cut off keeps its clients. If its demand were dropped, other zones would be given the
+// capacity that its clients need when it is back in contact.
+TEST(ZoneHealthEvaluator, KeepsTheDemandOfGatewaysOutOfContact) {
+  ZoneHealthEvaluator health_evaluator(3, {});
   std::vector<Zone> agreed;
   for (Millis now = 1000; now < 40000; now += 100) {
-    for (int g = now < 3000 ? 0 : 1; g < 3; ++g) {
-      const std::string zone(1, static_cast<char>('a' + g));
-      judge.OnLoadReport(now, g, {zone, 100, {{"a", 4, 4, 0, 0}, {"b", 4, 4, 0, 0}, {"c", 4, 4, 0, 0}}});
+    for (int gateway = now < 3000 ? 0 : 1; gateway < 3; ++gateway) {
+      const std::string zone(1, static_cast<char>('a' + gateway));
+      health_evaluator.OnLoadReport(now, gateway,
+                                    {zone, 100, {{"a", 4, 4, 0, 0}, {"b", 4, 4, 0, 0}, {"c", 4, 4, 0, 0}}});
     }
-    if (auto next = judge.Evaluate(now, agreed)) judge.OnAgreement(now, agreed, *next), agreed = *next;
+    if (auto proposal = health_evaluator.Evaluate(now, agreed))
+      health_evaluator.OnAgreement(now, agreed, *proposal), agreed = *proposal;
   }
   ASSERT_EQ(agreed.size(), 3u);
   EXPECT_EQ(agreed[0].name, "a");
   EXPECT_EQ(agreed[0].demand, 100);
 }
 
-// ---- Agreeing --------------------------------------------------------------------------------
+// ---- Agreement -------------------------------------------------------------------------------
 
-// Gateways on a network that loses, delays and cuts, with clocks of their own; and a referee of its own.
-struct Net {
-  Net(int gateways, std::uint64_t with) : n(gateways), random(with) {
-    for (int g = 0; g < n; ++g) {
-      skew.push_back(1 + 0.01 * (2 * Chance() - 1));
-      ahead.push_back(1e6 * Chance());
-      gone_until.push_back(0);
-      duties.emplace_back();
-      known.emplace_back();
-      Start(g);
+// Gateways with separate clocks on a network that loses, delays and cuts off messages. Checks the invariants
+// of the agreement on its own, from the messages that are sent and the states that are adopted.
+struct SimulatedCluster {
+  SimulatedCluster(int gateways, std::uint64_t random_seed) : gateway_count(gateways), random(random_seed) {
+    for (int gateway = 0; gateway < gateway_count; ++gateway) {
+      clock_rates.push_back(1 + 0.01 * (2 * RandomFraction() - 1));
+      clock_offsets.push_back(1e6 * RandomFraction());
+      stopped_until.push_back(0);
+      coordinators.emplace_back();
+      adopted.emplace_back();
+      Start(gateway);
     }
   }
-  double Chance() { return static_cast<double>(random() >> 11) / 9007199254740992.0; }
-  Millis Clock(int g) const { return ahead[At(g)] + now * skew[At(g)]; }
-  static std::size_t At(int g) { return static_cast<std::size_t>(g); }
+  double RandomFraction() { return static_cast<double>(random() >> 11) / 9007199254740992.0; }
+  Millis Clock(int gateway) const {
+    return clock_offsets[Index(gateway)] + now * clock_rates[Index(gateway)];
+  }
+  static std::size_t Index(int gateway) { return static_cast<std::size_t>(gateway); }
 
-  void Start(int g) {
+  void Start(int gateway) {
     ZoneStateCoordinator::Times times;
     times.lease = {800, 0.02, 100};
     times.evaluator.hold_down = 1500;
-    known[At(g)] = {};
-    duties[At(g)] = std::make_unique<ZoneStateCoordinator>(
-        g, n, times, Clock(g), 1000 + static_cast<FencingToken>(now),
+    adopted[Index(gateway)] = {};
+    coordinators[Index(gateway)] = std::make_unique<ZoneStateCoordinator>(
+        gateway, gateway_count, times, Clock(gateway), 1000 + static_cast<FencingToken>(now),
         ZoneStateCoordinator::Handlers{
-            [this, g](int to, const CoordinationMessage& word) { Post(g, to, word); },
-            [this, g](const ZoneAgreement& state) { Adopted(g, state); }});
+            [this, gateway](int to, const CoordinationMessage& payload) { Send(gateway, to, payload); },
+            [this, gateway](const ZoneAgreement& state) { OnAdopted(gateway, state); }});
   }
-  void Post(int from, int to, const CoordinationMessage& word) {
-    ++words;
-    if (const auto* const vote = std::get_if<ZoneStateVote>(&word))
+  void Send(int from, int to, const CoordinationMessage& payload) {
+    ++messages_sent;
+    if (const auto* const vote = std::get_if<ZoneStateVote>(&payload))
       votes[{vote->token, vote->version}].insert(from);
-    if (const auto* const w = std::get_if<ZoneStateAnnouncement>(&word);
-        w != nullptr && w->kind == ZoneStateAnnouncement::Kind::kProposed)
-      votes[{w->state.term, w->state.version}].insert(from);
-    if (Chance() < loss) return;
-    under_way.push_back({now + 1 + delay * Chance(), from, to, word});
+    if (const auto* const announcement = std::get_if<ZoneStateAnnouncement>(&payload);
+        announcement != nullptr && announcement->kind == ZoneStateAnnouncement::Kind::kProposed)
+      votes[{announcement->state.term, announcement->state.version}].insert(from);
+    if (RandomFraction() < loss_probability) return;
+    in_flight.push_back({now + 1 + max_delay * RandomFraction(), from, to, payload});
   }
-  void Adopted(int g, const ZoneAgreement& state) {
+  void OnAdopted(int gateway, const ZoneAgreement& state) {
     const auto id = std::pair(state.term, state.version);
-    if (2 * static_cast<int>(votes[id].size()) <= n) ++unagreed;
-    const auto [same, added] = contents.emplace(id, state);
-    if (!added && !(same->second == state)) ++unlike;
-    if (!state.IsNewerThan(known[At(g)])) ++backwards;
-    known[At(g)] = state;
+    if (2 * static_cast<int>(votes[id].size()) <= gateway_count) ++without_majority;
+    const auto [same, added] = state_by_id.emplace(id, state);
+    if (!added && !(same->second == state)) ++conflicting;
+    if (!state.IsNewerThan(adopted[Index(gateway)])) ++outdated;
+    adopted[Index(gateway)] = state;
   }
-  void Tick(Millis ms) {
-    for (const Millis until = now + ms; now < until; now += 10) {
-      for (std::size_t i = 0; i < under_way.size(); ++i) {
-        const auto [at, from, to, word] = under_way[i];
-        if (at > now || gone_until[At(to)] > now) continue;  // what comes to a stopped one waits
-        under_way.erase(under_way.begin() + static_cast<std::ptrdiff_t>(i--));
-        if (!cut(from, to)) duties[At(to)]->OnMessage(Clock(to), from, word);
+  void Tick(Millis duration) {
+    for (const Millis until = now + duration; now < until; now += 10) {
+      for (std::size_t i = 0; i < in_flight.size(); ++i) {
+        const auto [at, from, to, payload] = in_flight[i];
+        if (at > now || stopped_until[Index(to)] > now) continue;  // a stopped gateway receives later
+        in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(i--));
+        if (!is_cut(from, to)) coordinators[Index(to)]->OnMessage(Clock(to), from, payload);
       }
-      for (int g = 0; g < n; ++g) {
-        if (gone_until[At(g)] > now || static_cast<int>(now / 10) % 10 != g % 10) continue;
-        const ZoneLoadReport own = OnLoadReport(g);
-        duties[At(g)]->Tick(Clock(g), Chance(), own);
-        for (int to = 0; to < n; ++to) {
-          if (to != g && !cut(g, to) && Chance() >= loss && gone_until[At(to)] <= now)
-            duties[At(to)]->OnLoadReport(Clock(to), g, own);
+      for (int gateway = 0; gateway < gateway_count; ++gateway) {
+        if (stopped_until[Index(gateway)] > now || static_cast<int>(now / 10) % 10 != gateway % 10) continue;
+        const ZoneLoadReport own = MakeLoadReport(gateway);
+        coordinators[Index(gateway)]->Tick(Clock(gateway), RandomFraction(), own);
+        for (int to = 0; to < gateway_count; ++to) {
+          if (to != gateway && !is_cut(gateway, to) && RandomFraction() >= loss_probability &&
+              stopped_until[Index(to)] <= now)
+            coordinators[Index(to)]->OnLoadReport(Clock(to), gateway, own);
         }
       }
       int holders = 0;
-      for (int g = 0; g < n; ++g)
-        holders += gone_until[At(g)] <= now && duties[At(g)]->Status(Clock(g))["holds"];
-      two += holders > 1;
+      for (int gateway = 0; gateway < gateway_count; ++gateway)
+        holders += stopped_until[Index(gateway)] <= now &&
+                   coordinators[Index(gateway)]->Status(Clock(gateway))["holds"];
+      double_holders += holders > 1;
     }
   }
-  ZoneLoadReport OnLoadReport(int g) const {
-    ZoneLoadReport sights{Home(g), 100, {}};
+  ZoneLoadReport MakeLoadReport(int gateway) const {
+    ZoneLoadReport report{HomeZone(gateway), 100, {}};
     for (const char* const zone : {"a", "b", "c"}) {
-      const double fit = health.contains(zone) ? health.at(zone) : 1;
-      const double ended = zone == sights.zone ? 50 : 0;
-      sights.zones.push_back({zone, 4, zone == sights.zone ? 4 * fit : 4, ended, ended * fit});
+      const double healthy = health.contains(zone) ? health.at(zone) : 1;
+      const double attempts = zone == report.zone ? 50 : 0;
+      report.zones.push_back({zone, 4, zone == report.zone ? 4 * healthy : 4, attempts, attempts * healthy});
     }
-    return sights;
+    return report;
   }
-  static std::string Home(int g) { return std::string(1, static_cast<char>('a' + g % 3)); }
-  double Level(int g, const std::string& zone) const {
-    for (const Zone& z : known[At(g)].zones) {
-      if (z.name == zone) return z.health;
+  static std::string HomeZone(int gateway) { return std::string(1, static_cast<char>('a' + gateway % 3)); }
+  double Level(int gateway, const std::string& zone) const {
+    for (const Zone& entry : adopted[Index(gateway)].zones) {
+      if (entry.name == zone) return entry.health;
     }
     return 1;
   }
   int Owner() const {
-    for (int g = 0; g < n; ++g) {
-      if (duties[At(g)]->Status(Clock(g))["holds"]) return g;
+    for (int gateway = 0; gateway < gateway_count; ++gateway) {
+      if (coordinators[Index(gateway)]->Status(Clock(gateway))["holds"]) return gateway;
     }
     return -1;
   }
-  bool Alike() const {
-    return std::all_of(known.begin(), known.end(), [&](const ZoneAgreement& k) { return k == known[0]; });
+  bool AllAgree() const {
+    return std::all_of(adopted.begin(), adopted.end(),
+                       [&](const ZoneAgreement& adopted_state) { return adopted_state == adopted[0]; });
   }
-  void ExpectRules() const {
-    EXPECT_EQ(unagreed, 0) << "gone by what no more than half had voted for";
-    EXPECT_EQ(unlike, 0) << "two states under one number";
-    EXPECT_EQ(backwards, 0) << "back to what was in force before";
-    EXPECT_EQ(two, 0) << "two holders";
+  void ExpectInvariants() const {
+    EXPECT_EQ(without_majority, 0) << "states adopted without the votes of a majority";
+    EXPECT_EQ(conflicting, 0) << "different states with one term and version";
+    EXPECT_EQ(outdated, 0) << "states adopted that were not newer than the last";
+    EXPECT_EQ(double_holders, 0) << "times at which two gateways held the lease";
   }
 
-  struct Letter {
+  struct Datagram {
     Millis at;
     int from, to;
-    CoordinationMessage word;
+    CoordinationMessage payload;
   };
-  const int n;
+  const int gateway_count;
   std::mt19937_64 random;
   Millis now = 1000;
-  double loss = 0, delay = 5;
-  std::function<bool(int, int)> cut = [](int, int) { return false; };
+  double loss_probability = 0, max_delay = 5;
+  std::function<bool(int, int)> is_cut = [](int, int) { return false; };
   std::map<std::string, double> health;
-  std::vector<double> skew, ahead;
-  std::vector<Millis> gone_until;
-  std::vector<std::unique_ptr<ZoneStateCoordinator>> duties;
-  std::vector<ZoneAgreement> known;
-  std::vector<Letter> under_way;
+  std::vector<double> clock_rates, clock_offsets;
+  std::vector<Millis> stopped_until;
+  std::vector<std::unique_ptr<ZoneStateCoordinator>> coordinators;
+  std::vector<ZoneAgreement> adopted;
+  std::vector<Datagram> in_flight;
   std::map<std::pair<FencingToken, std::uint64_t>, std::set<int>> votes;
-  std::map<std::pair<FencingToken, std::uint64_t>, ZoneAgreement> contents;
-  int unagreed = 0, unlike = 0, backwards = 0, two = 0;
-  std::uint64_t words = 0;
+  std::map<std::pair<FencingToken, std::uint64_t>, ZoneAgreement> state_by_id;
+  int without_majority = 0, conflicting = 0, outdated = 0, double_holders = 0;
+  std::uint64_t messages_sent = 0;
 };
 
-TEST(ZoneStateCoordinator, AllMoveTogetherAndComeBackTogether) {
-  for (const int n : {3, 5, 9, 30, 100}) {
-    Net net(n, 7);
-    net.Tick(3000);
-    ASSERT_TRUE(net.Alike()) << n;
-    ASSERT_GT(net.known[0].term, 0u) << n;
-    net.health["a"] = 0;
-    const std::uint64_t before = net.words;
-    Millis took = 0;
-    while (took < 3000 && (!net.Alike() || net.Level(0, "a") > 0)) net.Tick(10), took += 10;
-    EXPECT_LE(took, 1000) << n;
-    net.Tick(1000);
-    std::printf("%d gateways: moved in %.0f ms; %.1f words a gateway and second\n", n, took,
-                static_cast<double>(net.words - before) / n / (1 + took / 1000));
-    EXPECT_TRUE(net.Alike());
-    EXPECT_EQ(net.Level(0, "b"), 1);
-    net.health["a"] = 1;
-    net.Tick(20000);
-    EXPECT_TRUE(net.Alike());
-    EXPECT_EQ(net.Level(n - 1, "a"), 1);
-    net.ExpectRules();
+// When a zone fails, all gateways shift its traffic within a second. Gateways that follow different states
+// would send the remaining zones more than was calculated.
+TEST(ZoneStateCoordinator, ShiftsAllGatewaysTogetherAndBack) {
+  for (const int gateway_count : {3, 5, 9, 30, 100}) {
+    SimulatedCluster cluster(gateway_count, 7);
+    cluster.Tick(3000);
+    ASSERT_TRUE(cluster.AllAgree()) << gateway_count;
+    ASSERT_GT(cluster.adopted[0].term, 0u) << gateway_count;
+    cluster.health["a"] = 0;
+    const std::uint64_t messages_before = cluster.messages_sent;
+    Millis elapsed = 0;
+    while (elapsed < 3000 && (!cluster.AllAgree() || cluster.Level(0, "a") > 0))
+      cluster.Tick(10), elapsed += 10;
+    EXPECT_LE(elapsed, 1000) << gateway_count;
+    cluster.Tick(1000);
+    std::printf(
+        "%d gateways: shifted in %.0f ms; %.1f messages per gateway and second\n", gateway_count, elapsed,
+        static_cast<double>(cluster.messages_sent - messages_before) / gateway_count / (1 + elapsed / 1000));
+    EXPECT_TRUE(cluster.AllAgree());
+    EXPECT_EQ(cluster.Level(0, "b"), 1);
+    cluster.health["a"] = 1;
+    cluster.Tick(20000);
+    EXPECT_TRUE(cluster.AllAgree());
+    EXPECT_EQ(cluster.Level(gateway_count - 1, "a"), 1);
+    cluster.ExpectInvariants();
   }
 }
 
-// A quorum lost in the middle of a failover; two zones that fail one after the other.
-TEST(ZoneStateCoordinator, WhoIsCutOffKeepsToTheLastThatWasAgreed) {
-  Net net(5, 3);
-  net.Tick(3000);
-  net.health["a"] = 0;
-  net.Tick(200);  // seen, not yet agreed on
-  net.cut = [](int a, int b) { return a != b; };
-  net.Tick(5000);
-  for (int g = 0; g < 5; ++g) EXPECT_EQ(net.Level(g, "a"), 1) << "nobody could agree on it";
-  net.cut = [](int a, int b) { return (a < 2) != (b < 2); };
-  net.Tick(4000);
-  for (int g = 0; g < 5; ++g) EXPECT_EQ(net.Level(g, "a"), g < 2 ? 1 : 0) << g;
-  net.health["b"] = 0;
-  net.Tick(2000);
-  for (int g = 0; g < 5; ++g) EXPECT_EQ(net.Level(g, "b"), g < 2 ? 1 : 0) << g;
-  net.cut = [](int, int) { return false; };
-  net.Tick(3000);
-  EXPECT_TRUE(net.Alike()) << "all know what was agreed meanwhile";
-  net.ExpectRules();
+// The majority is lost in the middle of a failover, and a second zone fails while a minority is cut off. The
+// minority must not move traffic by what it can't agree on with a majority.
+TEST(ZoneStateCoordinator, MinorityKeepsTheLastAgreement) {
+  SimulatedCluster cluster(5, 3);
+  cluster.Tick(3000);
+  cluster.health["a"] = 0;
+  cluster.Tick(200);  // reported, but not agreed on yet
+  cluster.is_cut = [](int a, int b) { return a != b; };
+  cluster.Tick(5000);
+  for (int gateway = 0; gateway < 5; ++gateway)
+    EXPECT_EQ(cluster.Level(gateway, "a"), 1) << "health changed without a majority";
+  cluster.is_cut = [](int a, int b) { return (a < 2) != (b < 2); };
+  cluster.Tick(4000);
+  for (int gateway = 0; gateway < 5; ++gateway)
+    EXPECT_EQ(cluster.Level(gateway, "a"), gateway < 2 ? 1 : 0) << gateway;
+  cluster.health["b"] = 0;
+  cluster.Tick(2000);
+  for (int gateway = 0; gateway < 5; ++gateway)
+    EXPECT_EQ(cluster.Level(gateway, "b"), gateway < 2 ? 1 : 0) << gateway;
+  cluster.is_cut = [](int, int) { return false; };
+  cluster.Tick(3000);
+  EXPECT_TRUE(cluster.AllAgree()) << "the minority did not learn the agreements that it missed";
+  cluster.ExpectInvariants();
 }
 
-// Whoever takes the duty over goes on from the newest that any had agreed on, though it was not told of it.
-TEST(ZoneStateCoordinator, AHolderThatIsBehindIsToldBetter) {
-  Net net(3, 5);
-  net.Tick(3000);
-  const int holder = net.Owner(), other = (holder + 1) % 3, third = (holder + 2) % 3;
-  net.cut = [=](int a, int b) { return a == other || b == other; };
-  const std::string zone = Net::Home(third);  // which goes on seeing it
-  net.health[zone] = 0;
-  net.Tick(1000);
-  ASSERT_EQ(net.Level(third, zone), 0);
-  ASSERT_EQ(net.Level(other, zone), 1);
-  net.gone_until[Net::At(holder)] = net.now + 60000;
-  net.cut = [](int, int) { return false; };
-  net.Tick(4000);
-  EXPECT_EQ(net.Level(other, zone), 0);
-  EXPECT_TRUE(net.known[Net::At(other)] == net.known[Net::At(third)]);
-  net.ExpectRules();
+// A new lease holder that missed the last agreement must not send all gateways back to the state before: it
+// learns the newest agreement from any gateway that has adopted it.
+TEST(ZoneStateCoordinator, OutdatedHolderLearnsTheNewerAgreement) {
+  SimulatedCluster cluster(3, 5);
+  cluster.Tick(3000);
+  const int holder = cluster.Owner(), other = (holder + 1) % 3, third = (holder + 2) % 3;
+  cluster.is_cut = [=](int a, int b) { return a == other || b == other; };
+  const std::string zone = SimulatedCluster::HomeZone(third);  // its gateway still reports it
+  cluster.health[zone] = 0;
+  cluster.Tick(1000);
+  ASSERT_EQ(cluster.Level(third, zone), 0);
+  ASSERT_EQ(cluster.Level(other, zone), 1);
+  cluster.stopped_until[SimulatedCluster::Index(holder)] = cluster.now + 60000;
+  cluster.is_cut = [](int, int) { return false; };
+  cluster.Tick(4000);
+  EXPECT_EQ(cluster.Level(other, zone), 0);
+  EXPECT_TRUE(cluster.adopted[SimulatedCluster::Index(other)] ==
+              cluster.adopted[SimulatedCluster::Index(third)]);
+  cluster.ExpectInvariants();
 }
 
-// Anything, at random: losses, delays, stops, restarts, cuts both ways and one way, zones that come and go.
-TEST(ZoneStateCoordinator, KeepsItsRulesWhateverHappens) {
+// Random losses, delays, stops, restarts, cuts in one or both directions, and failing and recovering zones:
+// finds combinations of faults in which a state is adopted without a majority, twice, or out of order.
+TEST(ZoneStateCoordinator, KeepsItsInvariantsUnderRandomFaults) {
   constexpr int kRuns = 60;
-  int moved = 0;
+  int changed_runs = 0;
   for (std::uint64_t seed = 1; seed <= kRuns; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    Net net(3 + static_cast<int>(seed % 3), seed);
-    net.loss = 0.2 * net.Chance(), net.delay = 300 * net.Chance();
+    SimulatedCluster cluster(3 + static_cast<int>(seed % 3), seed);
+    cluster.loss_probability = 0.2 * cluster.RandomFraction(),
+    cluster.max_delay = 300 * cluster.RandomFraction();
     for (int event = 0; event < 25; ++event) {
-      const int g = static_cast<int>(net.random() % static_cast<unsigned>(net.n));
-      const int way = static_cast<int>(net.random() % 3);
-      switch (net.random() % 6) {
-        case 0: net.gone_until[Net::At(g)] = net.now + 3000 * net.Chance(); break;
-        case 1: net.Start(g); break;
+      const int gateway = static_cast<int>(cluster.random() % static_cast<unsigned>(cluster.gateway_count));
+      const int direction = static_cast<int>(cluster.random() % 3);
+      switch (cluster.random() % 6) {
+        case 0:
+          cluster.stopped_until[SimulatedCluster::Index(gateway)] =
+              cluster.now + 3000 * cluster.RandomFraction();
+          break;
+        case 1: cluster.Start(gateway); break;
         case 2:
-          net.cut = [=](int a, int b) { return way != 1 && a == g ? b != g : way != 2 && b == g && a != g; };
+          cluster.is_cut = [=](int a, int b) {
+            return direction != 1 && a == gateway ? b != gateway
+                                                  : direction != 2 && b == gateway && a != gateway;
+          };
+          break;
+        case 3: cluster.is_cut = [](int, int) { return false; }; break;
+        default:
+          cluster.health[SimulatedCluster::HomeZone(gateway)] =
+              0.25 * static_cast<double>(cluster.random() % 5);
           break;
-        case 3: net.cut = [](int, int) { return false; }; break;
-        default: net.health[Net::Home(g)] = 0.25 * static_cast<double>(net.random() % 5); break;
       }
-      net.Tick(1500 * net.Chance());
+      cluster.Tick(1500 * cluster.RandomFraction());
     }
-    net.loss = 0, net.delay = 5, net.health.clear();
-    net.cut = [](int, int) { return false; };
-    for (Millis& until : net.gone_until) until = 0;
-    net.Tick(5000);
-    EXPECT_TRUE(net.Alike());
-    moved += net.known[0].version > 2;
-    net.ExpectRules();
+    cluster.loss_probability = 0, cluster.max_delay = 5, cluster.health.clear();
+    cluster.is_cut = [](int, int) { return false; };
+    for (Millis& until : cluster.stopped_until) until = 0;
+    cluster.Tick(5000);
+    EXPECT_TRUE(cluster.AllAgree());
+    changed_runs += cluster.adopted[0].version > 2;
+    cluster.ExpectInvariants();
     if (HasFailure()) break;
   }
-  EXPECT_GT(moved, kRuns / 2) << "what is tried here has to come to something";
+  EXPECT_GT(changed_runs, kRuns / 2) << "too few runs changed the agreement to check anything";
 }
 
-// The referee of these tests finds one that does not wait for votes.
-TEST(ZoneStateCoordinator, ThatGoesByItsOwnOfferIsFoundOut) {
-  Net net(3, 1);
-  net.Tick(3000);
-  net.cut = [](int a, int b) { return a != b; };
-  net.Adopted(0, {net.known[0].term + 256, net.known[0].version + 1, {{"a", 0, 4, 100}}});
-  EXPECT_EQ(net.unagreed, 1);
+// The invariant checks of these tests can fail: a state that is adopted without votes is found.
+TEST(ZoneStateCoordinator, InvariantCheckDetectsAdoptionWithoutAMajority) {
+  SimulatedCluster cluster(3, 1);
+  cluster.Tick(3000);
+  cluster.is_cut = [](int a, int b) { return a != b; };
+  cluster.OnAdopted(0, {cluster.adopted[0].term + 256, cluster.adopted[0].version + 1, {{"a", 0, 4, 100}}});
+  EXPECT_EQ(cluster.without_majority, 1);
 }
 
 }  // namespace
