--- a/tests/membership/fixture_test.cpp
+++ b/tests/membership/fixture_test.cpp
@@ -251,8 +251,9 @@
          << routing.panic_threshold << " " << routing.max_overflow << "\n";
   for (const auto& [zone, region] : routing.regions) output << "region " << zone << " " << region << "\n";
   const coordination::ZoneHealthEvaluator::Times& health = config.zone_health;
-  output << "zones " << health.fresh << " " << health.falls << " " << health.rises << " " << health.settles
-         << " " << health.spare << " " << health.hold << " " << health.most_hold << "\n";
+  output << "zones " << health.max_report_age << " " << health.decrease_delay << " " << health.increase_delay
+         << " " << health.settling_time << " " << health.overprovisioning_factor << " " << health.hold_down
+         << " " << health.max_hold_down << "\n";
   return output.str();
 }
 
