--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -21,7 +21,7 @@
 constexpr std::size_t kLeastSockets = 128;  // that tunnels have to leave for everything else
 
 // Tunnels have descriptors of their own, which nothing else is given.
-Means MeansOf(const config::Configuration& config, const EdgeConfig* edge) {
+ResourceLimits MeansOf(const config::Configuration& config, const EdgeConfig* edge) {
   const std::size_t tunnels = edge != nullptr ? edge->descriptors() : 0;
   if (tunnels > 0 && tunnels + kLeastSockets > config.max_descriptors) {
     throw EdgeError(edge->path + ": tunnels.most: tunnels and handshakes may hold " +
@@ -35,7 +35,7 @@
 ClientLimits LimitsFor(const Budget& budget) {
   ClientLimits limits;
   limits.sessions = budget.client_sessions;
-  limits.usual = budget.usual_sessions;
+  limits.usual = budget.idle_eviction_threshold;
   limits.body_bytes = budget.body_bytes;
   return limits;
 }
@@ -58,7 +58,7 @@
       settings_(config.settings),
       edge_file_(std::move(edge)),
       others_(state ? state->descriptors : 0),
-      budget_(ShareOut(MeansOf(config, edge_file_.get()), others_)),
+      budget_(ComputeBudget(MeansOf(config, edge_file_.get()), others_)),
       stall_detector_(io, {[this](Millis since) { return discovery_.PollAgainSince(since); },
                            [this] { hosts_.Resume(); }}),
       hosts_(io, {config.connect_timeout, config.endpoint_idle_timeout, budget_.host_connections},
@@ -157,7 +157,9 @@
   return listeners;
 }
 
-std::size_t Service::CountDescriptors() { return clients_.sessions() + hosts_.connections() + kOwnSockets; }
+std::size_t Service::CountDescriptors() {
+  return clients_.sessions() + hosts_.connections() + kInternalSockets;
+}
 
 void Service::AdoptClientConnection(std::string_view unread, operations::Descriptor connection) {
   clients_.Adopt(connection.release(), unread);
@@ -196,8 +198,8 @@
 
 void Service::OnPredecessorDescriptors(std::size_t count) {
   if (count == std::exchange(others_, count)) return;
-  budget_ = ShareOut(MeansOf(config_, edge_file_.get()), others_);
-  clients_.SetPlaces(budget_.client_sessions, budget_.usual_sessions);
+  budget_ = ComputeBudget(MeansOf(config_, edge_file_.get()), others_);
+  clients_.SetPlaces(budget_.client_sessions, budget_.idle_eviction_threshold);
   hosts_.SetMost(budget_.host_connections);
   core_.Configure(Fitted());
 }
@@ -208,7 +210,7 @@
   file_ = config.document;
   settings_ = config.settings;
   hosts_.SetTimes(config.connect_timeout, config.endpoint_idle_timeout);
-  core_.metrics().Configured(true);
+  core_.metrics().OnConfigurationRead(true);
   core_.Configure(Fitted());
   peers_.Moving(config.discovery_address);
   discovery_.SetAddress(config.discovery_address);
@@ -240,7 +242,7 @@
   EdgeService::WithTunnels(settings_, *edge);
   edge_->Reload(edge, settings_, config_.connect_timeout);
   edge_file_ = std::move(edge);
-  budget_ = ShareOut(MeansOf(config_, edge_file_.get()), others_);
+  budget_ = ComputeBudget(MeansOf(config_, edge_file_.get()), others_);
   core_.Configure(Fitted());
 }
 
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -59,7 +59,7 @@
   void KnowPeers(membership::PeersConfig peers);
   EdgeService& edge() { return edge_.value(); }  // throws std::bad_optional_access without a file
   // A changed configuration was turned down.
-  void KeptSettings() { core_.metrics().Configured(false); }
+  void KeptSettings() { core_.metrics().OnConfigurationRead(false); }
 
   // A planned end, in times from its beginning. SIGKILL comes at 3,700 ms or later.
   struct StopTimes {
--- a/src/core/budget.cpp
+++ b/src/core/budget.cpp
@@ -14,7 +14,7 @@
 constexpr double kBodyShare = 0.15;   // of the memory: bodies are held twice while they are passed on
 constexpr double kAttemptsPerMb = 6;  // of memory; one that streams both ways holds about 100 KiB
 
-std::size_t Usable(const Means& means, std::size_t others) {
+std::size_t Usable(const ResourceLimits& means, std::size_t others) {
   rlimit limit{};
   std::size_t all = means.sockets;
   if (getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur != RLIM_INFINITY) {
@@ -27,14 +27,14 @@
 
 }  // namespace
 
-Budget ShareOut(const Means& means, std::size_t others) {
+Budget ComputeBudget(const ResourceLimits& means, std::size_t others) {
   Budget budget;
   const std::size_t usable = Usable(means, others);
   const double by_descriptors = static_cast<double>(usable) * kHostShare;
   const double by_memory = means.memory_mb * kAttemptsPerMb - static_cast<double>(others);
   budget.host_connections = static_cast<std::size_t>(std::max(1.0, std::min(by_descriptors, by_memory)));
   budget.client_sessions = usable > budget.host_connections ? usable - budget.host_connections : 1;
-  budget.usual_sessions = static_cast<std::size_t>(static_cast<double>(means.sockets) * kUsualShare);
+  budget.idle_eviction_threshold = static_cast<std::size_t>(static_cast<double>(means.sockets) * kUsualShare);
   budget.body_bytes = static_cast<std::uint64_t>(std::max(1.0, means.memory_mb * kBodyShare) * (1 << 20));
   return budget;
 }
--- a/src/core/budget.hpp
+++ b/src/core/budget.hpp
@@ -8,23 +8,23 @@
 
 namespace meadowyard {
 
-constexpr std::size_t kOwnSockets = 16;  // that a process holds beside those of clients and hosts, about
+constexpr std::size_t kInternalSockets = 16;  // that a process holds beside those of clients and hosts, about
 
 struct Budget {
   std::size_t host_connections = 1;  // over all hosts, and so attempts out at once
   std::size_t client_sessions = 1;
-  std::size_t usual_sessions = 1;  // past it, kept connections of clients are closed
-  std::uint64_t body_bytes = 1;    // that requests may hold together
+  std::size_t idle_eviction_threshold = 1;  // past it, kept connections of clients are closed
+  std::uint64_t body_bytes = 1;             // that requests may hold together
 };
 
-struct Means {
+struct ResourceLimits {
   std::size_t sockets = 1024;  // file descriptors that the process may hold
   double memory_mb = 128;
   bool operators_call = false;  // descriptors are kept for them
 };
 
 // `others` are descriptors that another process of this gateway holds. Also heeds the system's own limit.
-Budget ShareOut(const Means& means, std::size_t others = 0);
+Budget ComputeBudget(const ResourceLimits& means, std::size_t others = 0);
 
 }  // namespace meadowyard
 
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -293,20 +293,21 @@
   errand.message = flow->message;
   errand.body_source = flow->body_source;
   errand.deadline = until;
-  errand.wanted = [this, id = send.request, server = send.endpoint] {
+  errand.still_wanted = [this, id = send.request, server = send.endpoint] {
     return IsAwaited(Find(id)) && policy_.IsEligible(server, id);
   };
-  errand.written = [this, name = flow->class_name] { metrics_.OnAttemptSent(name); };
-  errand.begun = [this, id = send.request, index](ResponseMessage reply, std::shared_ptr<BodySource> rest) {
+  errand.on_written = [this, name = flow->class_name] { metrics_.OnAttemptSent(name); };
+  errand.on_response_started = [this, id = send.request, index](ResponseMessage reply,
+                                                                std::shared_ptr<BodySource> rest) {
     OnResponseStarted(id, index, std::move(reply), std::move(rest));
   };
   if (flow->is_tunnel) {
-    errand.opened = [this, id = send.request,
-                     index](std::unique_ptr<meadowyard::core::TunnelEndpoint> opened) {
+    errand.on_tunnel_opened = [this, id = send.request,
+                               index](std::unique_ptr<meadowyard::core::TunnelEndpoint> opened) {
       OnTunnelOpened(id, index, std::move(opened));
     };
   }
-  errand.done = [this, id = send.request, index](AttemptResult result, ResponseMessage reply) {
+  errand.on_finished = [this, id = send.request, index](AttemptResult result, ResponseMessage reply) {
     OnAttemptFinished(id, index, result, std::move(reply));
   };
   const std::uint64_t number = upstream_.Start(send.endpoint, std::move(errand));
--- a/src/core/metrics.hpp
+++ b/src/core/metrics.hpp
@@ -26,7 +26,7 @@
   // An attempt was written whole to a host.
   void OnAttemptSent(const std::string& class_name);
   // A file was taken, or turned down, at SIGHUP.
-  void Configured(bool taken) { ++(taken ? loaded_ : invalid_); }
+  void OnConfigurationRead(bool taken) { ++(taken ? loaded_ : invalid_); }
 
   std::string ToJson(const Policy::Stats& hosts) const;
 
--- a/src/core/upstream.hpp
+++ b/src/core/upstream.hpp
@@ -17,14 +17,14 @@
   std::shared_ptr<BodySource> body_source;  // of its body, where that is still coming
   Millis deadline = 0;                      // of the whole attempt; with a rest, as long after that is whole
   // Asked once the way to the host is open: whether anyone still waits for the answer.
-  std::function<bool()> wanted = [] { return true; };
-  std::function<void()> written = [] {};  // it was written whole
-  // Its answer is a long one: the head with the first piece of the body, and the rest. `done` still follows.
-  std::function<void(ResponseMessage, std::shared_ptr<BodySource>)> begun;
-  // For a tunnel: the way to the host is open, and belongs to whoever is told. `done` does not follow.
-  std::function<void(std::unique_ptr<TunnelEndpoint>)> opened;
+  std::function<bool()> still_wanted = [] { return true; };
+  std::function<void()> on_written = [] {};  // it was written whole
+  // Its answer is a long one: the head with the first piece of the body, and the rest. `on_finished` still follows.
+  std::function<void(ResponseMessage, std::shared_ptr<BodySource>)> on_response_started;
+  // For a tunnel: the way to the host is open, and belongs to whoever is told. `on_finished` does not follow.
+  std::function<void(std::unique_ptr<TunnelEndpoint>)> on_tunnel_opened;
   // How it ended; the reply is the host's, if there was one. Called once, perhaps before Start returns.
-  std::function<void(AttemptResult, ResponseMessage)> done;
+  std::function<void(AttemptResult, ResponseMessage)> on_finished;
 };
 
 class Upstream {
--- a/src/upstream/connection.cpp
+++ b/src/upstream/connection.cpp
@@ -39,7 +39,7 @@
                  Finish(result, std::move(reply));
                },
                [this](core::ResponseMessage reply, std::shared_ptr<core::BodySource> rest) {
-                 job_->begun(std::move(reply), std::move(rest));
+                 job_->on_response_started(std::move(reply), std::move(rest));
                },
                [this](bool keep_alive) {
                  Release(keep_alive);
@@ -137,7 +137,7 @@
   if (!job_) return;
   const Job job = *std::exchange(job_, std::nullopt);
   pool_.active_.erase(job.attempt);
-  job.done(result, std::move(reply));
+  job.on_finished(result, std::move(reply));
 }
 
 // Most jobs end long before they are due: a timer that waits for less long than the new time is left alone,
@@ -171,7 +171,7 @@
   if (ec) return End(AttemptResult::kConnectFailed);
   if (!pool_.handlers_.current()) return pool_.dialled_.push_back(shared_from_this());
   // The dial took time: the host may have begun to drain, or may have moved, or the client may have left.
-  if (!pool_.MayUse(host_, address_) || !job_->wanted()) return End(AttemptResult::kNotSent);
+  if (!pool_.MayUse(host_, address_) || !job_->still_wanted()) return End(AttemptResult::kNotSent);
   Arm(job_->deadline);
   Write();
 }
@@ -184,7 +184,7 @@
 void HostPool::Connection::Written() {
   if (job_->body_source) Arm(job_->deadline = core::Now() + job_->patience);
   job_->body_source.reset();
-  job_->written();
+  job_->on_written();
   reader_.Read();
 }
 
--- a/src/upstream/host_pool.cpp
+++ b/src/upstream/host_pool.cpp
@@ -59,10 +59,10 @@
   while (!waiting_.empty()) {  // whoever is told of one may end another
     auto next = waiting_.extract(waiting_.begin());
     auto& [host, errand] = next.mapped();
-    if (handlers_.may_use(host) && errand.wanted()) {
+    if (handlers_.may_use(host) && errand.still_wanted()) {
       Begin(next.key(), host, std::move(errand));
     } else {
-      errand.done(AttemptResult::kNotSent, {});
+      errand.on_finished(AttemptResult::kNotSent, {});
     }
   }
   for (const auto& connection : std::exchange(dialled_, {})) connection->Resume();
@@ -71,14 +71,14 @@
 bool HostPool::EndWaiting(std::uint64_t attempt, AttemptResult result) {
   const auto waiting = waiting_.extract(attempt);
   if (waiting.empty()) return false;
-  waiting.mapped().errand.done(result, {});
+  waiting.mapped().errand.on_finished(result, {});
   return true;
 }
 
 void HostPool::Begin(std::uint64_t attempt, const std::string& host, core::AttemptRequest errand) {
   const auto found = hosts_.find(host);
   if (found == hosts_.end() || core::Now() >= errand.deadline) {
-    errand.done(AttemptResult::kNotSent, {});
+    errand.on_finished(AttemptResult::kNotSent, {});
     return;
   }
   const Millis patience = errand.deadline - core::Now();
@@ -98,7 +98,7 @@
     connection->Close();
   }
   if (connections_ >= limits_.connections && !EvictIdle()) {
-    job.done(AttemptResult::kNotSent, {});
+    job.on_finished(AttemptResult::kNotSent, {});
     return;
   }
   const auto connection = std::make_shared<Connection>(*this, host, found->second.address);
@@ -107,7 +107,7 @@
     connection->Dial(std::move(job));
   } else {
     connection->Close();
-    job.done(AttemptResult::kNotSent, {});
+    job.on_finished(AttemptResult::kNotSent, {});
   }
 }
 
--- a/src/upstream/tunnel_dialer.cpp
+++ b/src/upstream/tunnel_dialer.cpp
@@ -51,7 +51,7 @@
     socket_.close(ignored);
     timer_.cancel();
     Forget();
-    errand_.done(result, {});
+    errand_.on_finished(result, {});
   }
 
   void Abandon() {
@@ -122,7 +122,7 @@
     Forget();
     auto opened = std::make_unique<core::TunnelEndpoint>(
         core::TunnelEndpoint{host_, std::move(socket_), std::move(input_)});
-    errand_.opened(std::move(opened));
+    errand_.on_tunnel_opened(std::move(opened));
   }
 
   TunnelDialer* owner_;
@@ -161,7 +161,7 @@
   const std::uint64_t number = next_++;
   const auto found = hosts_.find(host);
   if (found == hosts_.end() || !may_use_(host) || core::Now() >= errand.deadline) {
-    errand.done(AttemptResult::kNotSent, {});
+    errand.on_finished(AttemptResult::kNotSent, {});
     return number;
   }
   const auto dial = std::make_shared<Dial>(*this, number, host, found->second, std::move(errand));
--- a/src/upstream/tunnel_dialer.hpp
+++ b/src/upstream/tunnel_dialer.hpp
@@ -54,7 +54,7 @@
  public:
   SplitUpstream(core::Upstream& requests, core::Upstream& tunnels) : requests_(requests), tunnels_(tunnels) {}
   std::uint64_t Start(const std::string& host, core::AttemptRequest errand) override {
-    const bool tunnel = errand.opened != nullptr;
+    const bool tunnel = errand.on_tunnel_opened != nullptr;
     return (tunnel ? tunnels_ : requests_).Start(host, std::move(errand)) << 1 | (tunnel ? 1u : 0u);
   }
   void Cancel(std::uint64_t attempt) override { Of(attempt).Cancel(attempt >> 1); }
--- a/tests/crowd_test.cpp
+++ b/tests/crowd_test.cpp
@@ -33,7 +33,7 @@
 // that one, not about hundreds, also where many have sent what is yet to be read.
 TEST(Crowd, IsMadeRoomForByAskingOfFewConnections) {
   World world(1, TestSettings(), 400);
-  const std::size_t places = meadowyard::ShareOut({400, 128, false}).client_sessions;
+  const std::size_t places = meadowyard::ComputeBudget({400, 128, false}).client_sessions;
   const auto up = [&] {  // an answer that came behind all that was sent before
     Client client(world.io, world.gateway->address());
     client.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -710,7 +710,7 @@
   core::AttemptRequest errand;
   errand.message = call;
   errand.deadline = meadowyard::core::Now() + 20000;
-  errand.done = [&](AttemptResult r, core::ResponseMessage) { result = r; };
+  errand.on_finished = [&](AttemptResult r, core::ResponseMessage) { result = r; };
   pool.Start("h0", std::move(errand));
   list.endpoints[0].endpoint.state = EndpointState::kDraining;
   pool.Update(list);
@@ -743,7 +743,7 @@
     core::AttemptRequest errand;
     errand.message = call;
     errand.deadline = meadowyard::core::Now() + 60000;
-    errand.done = [&](AttemptResult r, core::ResponseMessage) { results.push_back(r); };
+    errand.on_finished = [&](AttemptResult r, core::ResponseMessage) { results.push_back(r); };
     return pool.Start(host, std::move(errand));
   };
   start("h1");
--- a/tests/operations/admin_test.cpp
+++ b/tests/operations/admin_test.cpp
@@ -106,9 +106,9 @@
   figures.OnRequestFinished("pay", core::Metrics::RequestResult::kFailed);
   figures.OnAttemptSent("pay");
   figures.SetClasses({pay});
-  figures.Configured(true);
-  figures.Configured(false);
-  figures.Configured(false);
+  figures.OnConfigurationRead(true);
+  figures.OnConfigurationRead(false);
+  figures.OnConfigurationRead(false);
   const auto json = nlohmann::json::parse(figures.ToJson({7, 2}));
   const auto counts = [](int answered, int deferred, int errored, int sends) {
     return nlohmann::json{
--- a/tests/orders_test.cpp
+++ b/tests/orders_test.cpp
@@ -136,19 +136,19 @@
     if (const auto passed = Taken(passed_, id)) passed(result == AttemptResult::kServed);
     const auto found = errands_.find({id, attempt});
     if (found == errands_.end()) return;  // a core's upstream tells each end once
-    const auto done = std::move(found->second.done);
+    const auto done = std::move(found->second.on_finished);
     errands_.erase(found);
     done(result, {});
   }
   void Begins(int id, int attempt) override {
     if (!errands_.contains({id, attempt})) return;  // a planted fault's
     core::AttemptRequest& errand = errands_.at({id, attempt});
-    if (errand.opened) {
-      const auto opened = std::move(errand.opened);
+    if (errand.on_tunnel_opened) {
+      const auto opened = std::move(errand.on_tunnel_opened);
       errands_.erase({id, attempt});
       return opened(nullptr);
     }
-    const auto begun = errand.begun;
+    const auto begun = errand.on_response_started;
     begun({}, std::make_shared<Rest>());
   }
   void Gone(int id) override { core_.OnClientDisconnected(NameOf(id)); }
--- a/tests/race_test.cpp
+++ b/tests/race_test.cpp
@@ -209,7 +209,7 @@
       errand.message =
           std::make_shared<const core::RequestMessage>(core::RequestMessage{"GET", "/api", {}, ""});
       errand.deadline = core::Now() + 20000;
-      errand.done = [&](AttemptResult, core::ResponseMessage reply) { ++ended, last = reply.body; };
+      errand.on_finished = [&](AttemptResult, core::ResponseMessage reply) { ++ended, last = reply.body; };
       pool.Start("h0", std::move(errand));
     };
     start();
@@ -275,7 +275,7 @@
     errand.message =
         std::make_shared<const core::RequestMessage>(core::RequestMessage{"GET", "/api", {}, ""});
     errand.deadline = core::Now() + 20000;
-    errand.done = [&](AttemptResult result, core::ResponseMessage) { results.push_back(result); };
+    errand.on_finished = [&](AttemptResult result, core::ResponseMessage) { results.push_back(result); };
     numbers.push_back(pool.Start("h0", std::move(errand)));
   };
   start();
