--- a/src/core/body_source.hpp
+++ b/src/core/body_source.hpp
@@ -1,5 +1,6 @@
-// A body that is still on its way: whoever passes it on asks for a piece at a time, so that no more of it is
-// held than one side has given and the other has not taken yet.
+/// @file
+/// A body that is still arriving. The writing side requests it piece by piece, so that at most one piece is
+/// buffered between the peer that sends it and the peer that receives it.
 #ifndef MEADOWYARD_BODY_SOURCE_HPP_
 #define MEADOWYARD_BODY_SOURCE_HPP_
 
@@ -12,35 +13,40 @@
 
 namespace meadowyard::core {
 
-constexpr std::size_t kMaxPieceBytes = 16 * 1024;   // of a body, at the most
-constexpr std::uint64_t kMaxBodyBytes = 33u << 20;  // bodies of 32 MB occur
+constexpr std::size_t kMaxPieceBytes = 16 * 1024;   // largest piece of a streamed body
+constexpr std::uint64_t kMaxBodyBytes = 33u << 20;  // larger than the bodies of 32 MB that occur in use
 
+/// A body, or the remainder of one, that is read on request.
 class BodySource {
  public:
+  /// kData: a piece follows. kComplete: the body has ended. kBroken: it was cut off and stays incomplete.
   enum class Status { kData, kComplete, kBroken };
-  // Called once for each Ask, never before Ask returns; a piece is gone after the call.
+  /// Called once for each RequestData, never before that returns. `piece` is valid during the call only.
   using DataCallback = std::function<void(Status next, std::string_view piece)>;
 
   virtual ~BodySource() = default;
-  virtual void RequestData(DataCallback take) = 0;
-  // Nobody wants the rest.
+  /// Requests the next piece. One request may be outstanding at a time.
+  virtual void RequestData(DataCallback on_data) = 0;
+  /// The remainder is not needed any more.
   virtual void Cancel() = 0;
-  // Of the whole body; nothing if it shows only at its end.
+  /// Length of the complete body in bytes; empty if it is not known before the body ends.
   virtual std::optional<std::uint64_t> length() const = 0;
-  // Whether a piece was asked for: who sends the body again from its start can't have it any more.
+  /// Whether RequestData was called: the body can't be sent again from its start then.
   virtual bool data_requested() const = 0;
 };
 
-// A piece as it goes on the wire: in a chunk of its own where the length was not told.
+/// A piece as it is written to the wire: as it is, or as one chunk of the chunked transfer coding (RFC 9112,
+/// section 7.1) where the length was not declared.
 inline std::string EncodeBodyData(std::string_view piece, bool chunked) {
   if (!chunked) return std::string(piece);
-  if (piece.empty()) return {};  // would be the end
+  if (piece.empty()) return {};  // a chunk of length 0 would end the body
   char head[24];
   const int size = std::snprintf(head, sizeof head, "%zx\r\n", piece.size());
   std::string text(head, static_cast<std::size_t>(size));
   text.append(piece).append("\r\n");
   return text;
 }
+/// Ends a body in the chunked transfer coding.
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
 }  // namespace meadowyard::core
--- a/src/core/budget.cpp
+++ b/src/core/budget.cpp
@@ -7,35 +7,44 @@
 namespace meadowyard {
 namespace {
 
-constexpr std::size_t kSpareSockets = 24;  // listener, discovery, standard streams, the loop's own, and room
-constexpr std::size_t kAdminSockets = 20;  // operators' listener, their calls and one that is being accepted
-constexpr double kHostShare = 0.45;   // of the descriptors left; an attempt out holds one, as its client does
-constexpr double kUsualShare = 0.3;   // of all descriptors: clients hold a third of them at the most
-constexpr double kBodyShare = 0.15;   // of the memory: bodies are held twice while they are passed on
-constexpr double kAttemptsPerMb = 6;  // of memory; one that streams both ways holds about 100 KiB
-
-std::size_t Usable(const ResourceLimits& means, std::size_t others) {
+// Listener, discovery, standard streams, the event loop's own descriptors, and a margin.
+constexpr std::size_t kReservedSockets = 24;
+// Admin listener, admin connections and one that is being accepted.
+constexpr std::size_t kAdminSockets = 20;
+// Share of the usable descriptors. Below half, because an attempt in flight holds one and its client another.
+constexpr double kHostConnectionShare = 0.45;
+// Share of all descriptors. Eviction starts below the third of them that clients' connections take at most.
+constexpr double kIdleEvictionShare = 0.3;
+// Share of the memory; a body is buffered twice while it is forwarded.
+constexpr double kBodyMemoryShare = 0.15;
+// Per MiB of memory; an attempt that streams both ways needs about 100 KiB.
+constexpr double kAttemptsPerMb = 6;
+
+std::size_t UsableDescriptors(const ResourceLimits& limits, std::size_t other_process_descriptors) {
   rlimit limit{};
-  std::size_t all = means.sockets;
+  std::size_t max_descriptors = limits.sockets;
   if (getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur != RLIM_INFINITY) {
-    all = std::min<std::size_t>(all, limit.rlim_cur);
+    max_descriptors = std::min<std::size_t>(max_descriptors, limit.rlim_cur);
   }
-  const std::size_t spare = kSpareSockets + (means.operators_call ? kAdminSockets : 0);
-  const std::size_t usable = all > 2 * spare ? all - spare : all / 2;
-  return std::max(usable / 4, usable - std::min(usable, others));
+  const std::size_t reserved = kReservedSockets + (limits.has_admin_interface ? kAdminSockets : 0);
+  const std::size_t usable =
+      max_descriptors > 2 * reserved ? max_descriptors - reserved : max_descriptors / 2;
+  return std::max(usable / 4, usable - std::min(usable, other_process_descriptors));
 }
 
 }  // namespace
 
-Budget ComputeBudget(const ResourceLimits& means, std::size_t others) {
+Budget ComputeBudget(const ResourceLimits& limits, std::size_t other_process_descriptors) {
   Budget budget;
-  const std::size_t usable = Usable(means, others);
-  const double by_descriptors = static_cast<double>(usable) * kHostShare;
-  const double by_memory = means.memory_mb * kAttemptsPerMb - static_cast<double>(others);
+  const std::size_t usable = UsableDescriptors(limits, other_process_descriptors);
+  const double by_descriptors = static_cast<double>(usable) * kHostConnectionShare;
+  const double by_memory = limits.memory_mb * kAttemptsPerMb - static_cast<double>(other_process_descriptors);
   budget.host_connections = static_cast<std::size_t>(std::max(1.0, std::min(by_descriptors, by_memory)));
   budget.client_sessions = usable > budget.host_connections ? usable - budget.host_connections : 1;
-  budget.idle_eviction_threshold = static_cast<std::size_t>(static_cast<double>(means.sockets) * kUsualShare);
-  budget.body_bytes = static_cast<std::uint64_t>(std::max(1.0, means.memory_mb * kBodyShare) * (1 << 20));
+  budget.idle_eviction_threshold =
+      static_cast<std::size_t>(static_cast<double>(limits.sockets) * kIdleEvictionShare);
+  budget.body_bytes =
+      static_cast<std::uint64_t>(std::max(1.0, limits.memory_mb * kBodyMemoryShare) * (1 << 20));
   return budget;
 }
 
--- a/src/core/budget.hpp
+++ b/src/core/budget.hpp
@@ -1,5 +1,6 @@
-// How a process shares out its descriptors and its memory between clients and hosts, so that both sides
-// together stay under the limits.
+/// @file
+/// Divides the file descriptors and the memory of the process between clients and hosts, so that both sides
+/// together stay within its limits.
 #ifndef MEADOWYARD_CORE_BUDGET_HPP_
 #define MEADOWYARD_CORE_BUDGET_HPP_
 
@@ -8,23 +9,26 @@
 
 namespace meadowyard {
 
-constexpr std::size_t kInternalSockets = 16;  // that a process holds beside those of clients and hosts, about
+constexpr std::size_t kInternalSockets = 16;  // approximate number besides those of clients and hosts
 
+/// Maximum numbers for the two sides of the gateway.
 struct Budget {
-  std::size_t host_connections = 1;  // over all hosts, and so attempts out at once
+  std::size_t host_connections = 1;  // over all hosts; also limits the attempts in flight
   std::size_t client_sessions = 1;
-  std::size_t idle_eviction_threshold = 1;  // past it, kept connections of clients are closed
-  std::uint64_t body_bytes = 1;             // that requests may hold together
+  std::size_t idle_eviction_threshold = 1;  // with more sessions, idle connections of clients are closed
+  std::uint64_t body_bytes = 1;             // buffered bodies, summed over all requests
 };
 
+/// What the process may use.
 struct ResourceLimits {
-  std::size_t sockets = 1024;  // file descriptors that the process may hold
+  std::size_t sockets = 1024;  // file descriptors that the process may have open
   double memory_mb = 128;
-  bool operators_call = false;  // descriptors are kept for them
+  bool has_admin_interface = false;  // descriptors are reserved for it
 };
 
-// `others` are descriptors that another process of this gateway holds. Also heeds the system's own limit.
-Budget ComputeBudget(const ResourceLimits& means, std::size_t others = 0);
+/// Computes the budget from the limits and RLIMIT_NOFILE, whichever is lower. `other_process_descriptors` are
+/// held by another process of this gateway during a hot restart and are not available to this one.
+Budget ComputeBudget(const ResourceLimits& limits, std::size_t other_process_descriptors = 0);
 
 }  // namespace meadowyard
 
--- a/src/core/clock.cpp
+++ b/src/core/clock.cpp
@@ -6,15 +6,16 @@
 namespace meadowyard::core {
 namespace {
 
-struct IoWait : Clock::Timer {
+struct AsioTimer : Clock::Timer {
   struct State {
-    State(boost::asio::io_context& io, std::function<void()> t) : timer(io), then(std::move(t)) {}
+    State(boost::asio::io_context& io, std::function<void()> on_expiry)
+        : timer(io), callback(std::move(on_expiry)) {}
     boost::asio::steady_timer timer;
-    std::function<void()> then;
+    std::function<void()> callback;
   };
-  explicit IoWait(std::shared_ptr<State> s) : state(std::move(s)) {}
-  ~IoWait() override {
-    state->then = nullptr;  // one that is due already is told of no more
+  explicit AsioTimer(std::shared_ptr<State> timer_state) : state(std::move(timer_state)) {}
+  ~AsioTimer() override {
+    state->callback = nullptr;  // its handler may be queued already and must not call back any more
     state->timer.cancel();
   }
   const std::shared_ptr<State> state;
@@ -22,14 +23,14 @@
 
 }  // namespace
 
-std::unique_ptr<Clock::Timer> AsioClock::StartTimer(Millis wait, std::function<void()> then) {
-  auto state = std::make_shared<IoWait::State>(io_, std::move(then));
-  state->timer.expires_after(ToDuration(wait));
+std::unique_ptr<Clock::Timer> AsioClock::StartTimer(Millis delay, std::function<void()> callback) {
+  auto state = std::make_shared<AsioTimer::State>(io_, std::move(callback));
+  state->timer.expires_after(ToDuration(delay));
   state->timer.async_wait([state](boost::system::error_code ec) {
-    // Moved out first: what is called may end the wait itself.
-    if (const auto due = std::exchange(state->then, nullptr); due && !ec) due();
+    // Moved out first: the callback may destroy the timer.
+    if (const auto expired = std::exchange(state->callback, nullptr); expired && !ec) expired();
   });
-  return std::make_unique<IoWait>(std::move(state));
+  return std::make_unique<AsioTimer>(std::move(state));
 }
 
 }  // namespace meadowyard::core
--- a/src/core/clock.hpp
+++ b/src/core/clock.hpp
@@ -1,4 +1,5 @@
-// The gateway's one clock: the monotonic one, shifted once at the start so that it reads Unix time.
+/// @file
+/// The gateway's clock: the monotonic clock plus an offset, fixed at the start, that makes it read Unix time.
 #ifndef MEADOWYARD_CLOCK_HPP_
 #define MEADOWYARD_CLOCK_HPP_
 
@@ -11,41 +12,43 @@
 
 namespace meadowyard::core {
 
-// Never runs backwards, as the policy demands, and a host's up_since_ms needs no further conversion: the
-// shift stays the same, for a start that moved a little between two lists would look like a restart.
+/// Milliseconds of Unix time. Never runs backwards, as the policy requires, and compares directly with a
+/// host's up_since_ms. The offset is constant: if it were corrected while running, the start time of a host
+/// would differ slightly between two lists and look like a restart.
 inline Millis Now() {
-  const auto since = [](auto time) {
+  const auto to_millis = [](auto time) {
     return std::chrono::duration<double, std::milli>(time.time_since_epoch()).count();
   };
-  static const Millis shift =
-      since(std::chrono::system_clock::now()) - since(std::chrono::steady_clock::now());
-  return since(std::chrono::steady_clock::now()) + shift;
+  static const Millis offset =
+      to_millis(std::chrono::system_clock::now()) - to_millis(std::chrono::steady_clock::now());
+  return to_millis(std::chrono::steady_clock::now()) + offset;
 }
 
-// A span for asio's timers, which take no fractions.
+/// A duration for asio's timers, which take integers only; negative ones become 0.
 inline std::chrono::microseconds ToDuration(Millis ms) {
   return std::chrono::microseconds(ms > 0 ? static_cast<std::int64_t>(ms * 1000) : 0);
 }
 
-// The core's time, and what waits for it: tests bring their own.
+/// Time and timers of the core; replaced in tests.
 class Clock {
  public:
-  // A wait that ends with it.
+  /// A pending timer; its destructor cancels it.
   class Timer {
    public:
     virtual ~Timer() = default;
   };
   virtual ~Clock() = default;
   virtual Millis Now() = 0;
-  // Calls `then` once, unless what it returns is gone by then.
-  virtual std::unique_ptr<Timer> StartTimer(Millis wait, std::function<void()> then) = 0;
+  /// Calls `callback` once after the delay, unless the returned timer is destroyed before.
+  virtual std::unique_ptr<Timer> StartTimer(Millis delay, std::function<void()> callback) = 0;
 };
 
+/// The real clock. `io` outlives it and its timers.
 class AsioClock : public Clock {
  public:
   explicit AsioClock(boost::asio::io_context& io) : io_(io) {}
   Millis Now() override { return meadowyard::core::Now(); }
-  std::unique_ptr<Timer> StartTimer(Millis wait, std::function<void()> then) override;
+  std::unique_ptr<Timer> StartTimer(Millis delay, std::function<void()> callback) override;
 
  private:
   boost::asio::io_context& io_;
--- a/src/core/gateway.cpp
+++ b/src/core/gateway.cpp
@@ -10,13 +10,17 @@
 namespace meadowyard::core {
 namespace {
 
-constexpr Millis kMargin = 10;     // before a client leaves: answers travel, and timers may come late
-constexpr Millis kLastMargin = 4;  // before it leaves: what the policy has not answered by then is failed
-constexpr Millis kTimerAgain = 10;
-constexpr double kMostLoad = 1e6;  // no host can report more of anything
-
-// "inflight=7,util=0.61" in the order of the settings' fields; what is missing is not a number. A report that
-// can't be read in any part, or tells what no host can have, is none.
+// The policy has to answer this long before the client gives up: the answer takes time to reach the client,
+// and timers may fire late.
+constexpr Millis kAnswerMargin = 10;
+// A request that the policy has not answered this long before its client gives up is failed.
+constexpr Millis kDeadlineTimerMargin = 4;
+// A timer event whose handling threw an exception is repeated after this delay.
+constexpr Millis kTimerRetryDelay = 10;
+constexpr double kMaxLoadValue = 1e6;  // a reported value above this is invalid
+
+// Parses a load report such as "inflight=7,util=0.61" into the order of `fields`; a field that is missing is
+// NaN. Returns an empty vector if any part of the report is malformed or out of range.
 std::vector<double> ParseLoad(std::string_view text, const std::vector<std::string>& fields) {
   if (text.empty()) return {};
   std::vector<double> load(fields.size(), std::numeric_limits<double>::quiet_NaN());
@@ -28,25 +32,26 @@
     double value = 0;
     const char* const last = pair.data() + pair.size();
     const auto [end, error] = std::from_chars(pair.data() + equals + 1, last, value);
-    if (error != std::errc() || end != last || !(value >= 0 && value <= kMostLoad)) return {};
+    if (error != std::errc() || end != last || !(value >= 0 && value <= kMaxLoadValue)) return {};
     const auto field = std::find(fields.begin(), fields.end(), pair.substr(0, equals));
     if (field != fields.end()) load[static_cast<std::size_t>(field - fields.begin())] = value;
   }
   return load;
 }
 
-Answer Unserved(Answer::Kind kind, Millis retry_after = 0) {
+// An answer of the gateway itself, without a host's response.
+Answer LocalAnswer(Answer::Kind kind, Millis retry_after = 0) {
   Answer answer;
   answer.kind = kind;
   answer.retry_after = retry_after;
   return answer;
 }
 
-// The request that an event is about; empty if it is about none.
-std::string RequestOf(const Event& event) {
+// Id of the request that an event refers to; empty if it refers to none.
+std::string RequestIdOf(const Event& event) {
   if (const auto* request = std::get_if<Request>(&event)) return request->id;
   if (const auto* outcome = std::get_if<AttemptOutcome>(&event)) return outcome->request;
-  if (const auto* gone = std::get_if<ClientDisconnected>(&event)) return gone->request;
+  if (const auto* disconnected = std::get_if<ClientDisconnected>(&event)) return disconnected->request;
   return {};
 }
 
@@ -62,8 +67,8 @@
   metrics_.SetClasses(settings_.classes);
 }
 
-Policy::Admission Gateway::CheckAdmission(const std::string& class_name, Idempotency effect) {
-  return policy_.CheckAdmission(clock_.Now(), class_name, effect);
+Policy::Admission Gateway::CheckAdmission(const std::string& class_name, Idempotency declared_idempotency) {
+  return policy_.CheckAdmission(clock_.Now(), class_name, declared_idempotency);
 }
 
 void Gateway::Configure(const Settings& settings) {
@@ -73,89 +78,94 @@
 }
 
 void Gateway::FailAll() {
-  std::vector<std::string> left;
-  ending_ = true;
-  for (const auto& [id, flow] : exchanges_) left.push_back(id);
-  for (const std::string& id : left) OnDeadline(id);
+  std::vector<std::string> unfinished_ids;
+  shutting_down_ = true;
+  for (const auto& [id, open_request] : open_requests_) unfinished_ids.push_back(id);
+  for (const std::string& id : unfinished_ids) OnDeadline(id);
 }
 
 void Gateway::Submit(ClientRequest request) {
-  if (exchanges_.contains(request.id)) {  // two answers for one id could not be told apart
+  if (open_requests_.contains(request.id)) {  // two answers with the same id would be ambiguous
     meadowyard::core::Answer answer;
     answer.kind = meadowyard::core::Answer::Kind::kDuplicateId;
     return request.on_answer(std::move(answer));
   }
-  if (ending_) {  // nobody would be here to pass the answer on
+  if (shutting_down_) {  // the process exits before an attempt could be answered
     metrics_.OnRequestAccepted();
     metrics_.OnRequestFinished(request.class_name, Metrics::RequestResult::kRejected);
-    return request.on_answer(Unserved(meadowyard::core::Answer::Kind::kRejected));
+    return request.on_answer(LocalAnswer(meadowyard::core::Answer::Kind::kRejected));
   }
-  Exchange& flow = exchanges_.try_emplace(request.id).first->second;
-  flow.message = std::make_shared<const RequestMessage>(std::move(request.message));
-  flow.on_answer = std::move(request.on_answer);
-  flow.has_disconnected = std::move(request.has_disconnected);
-  flow.class_name = request.class_name;
-  flow.body_source = std::move(request.body_source);
-  flow.is_tunnel = request.is_tunnel;
-  flow.client_timeout = request.client_timeout;
-  flow.answer_deadline = request.received_at + request.client_timeout - kMargin;
-  flow.retry_deadline = flow.answer_deadline;
+  OpenRequest& open_request = open_requests_.try_emplace(request.id).first->second;
+  open_request.message = std::make_shared<const RequestMessage>(std::move(request.message));
+  open_request.on_answer = std::move(request.on_answer);
+  open_request.has_disconnected = std::move(request.has_disconnected);
+  open_request.class_name = request.class_name;
+  open_request.body_source = std::move(request.body_source);
+  open_request.is_tunnel = request.is_tunnel;
+  open_request.client_timeout = request.client_timeout;
+  open_request.answer_deadline = request.received_at + request.client_timeout - kAnswerMargin;
+  open_request.retry_deadline = open_request.answer_deadline;
   if (request.earliest_sent_at > 0)
-    flow.retry_deadline -= std::max(0.0, request.received_at - request.earliest_sent_at);
-  const bool coming = flow.body_source != nullptr;
-  if (!coming) Accept(request.id, flow);
+    open_request.retry_deadline -= std::max(0.0, request.received_at - request.earliest_sent_at);
+  const bool body_pending = open_request.body_source != nullptr;
+  if (!body_pending) Accept(request.id, open_request);
   Report(Request{request.id, request.class_name, request.tenant, request.key,
-                 flow.answer_deadline - clock_.Now(), request.is_retry, coming, request.pinned_endpoint,
-                 request.is_tunnel, request.idempotency});
+                 open_request.answer_deadline - clock_.Now(), request.is_retry, body_pending,
+                 request.pinned_endpoint, request.is_tunnel, request.idempotency});
 }
 
-void Gateway::Accept(const std::string& id, Exchange& flow) {
-  flow.accepted = true;
-  flow.body_complete_at = clock_.Now();
+void Gateway::Accept(const std::string& id, OpenRequest& open_request) {
+  open_request.accepted = true;
+  open_request.body_complete_at = clock_.Now();
   metrics_.OnRequestAccepted();
-  flow.deadline_timer = clock_.StartTimer(flow.answer_deadline + kMargin - kLastMargin - clock_.Now(),
-                                          [this, id] { OnDeadline(id); });
+  open_request.deadline_timer =
+      clock_.StartTimer(open_request.answer_deadline + kAnswerMargin - kDeadlineTimerMargin - clock_.Now(),
+                        [this, id] { OnDeadline(id); });
 }
 
 void Gateway::OnBodyComplete(const std::string& id) {
-  Exchange* const flow = Find(id);
-  if (flow == nullptr || flow->answered) return;
-  flow->not_replayable = true;  // its pieces went to a host as they came; the first one alone is still here
-  flow->body_source.reset();
-  flow->answer_deadline = flow->retry_deadline = clock_.Now() + flow->client_timeout - kMargin;
-  Accept(id, *flow);
-  Report(RequestBodyComplete{id, flow->answer_deadline - clock_.Now()});
+  OpenRequest* const open_request = Find(id);
+  if (open_request == nullptr || open_request->answered) return;
+  open_request->not_replayable = true;  // its body was streamed to a host; only the first part is kept here
+  open_request->body_source.reset();
+  open_request->answer_deadline = open_request->retry_deadline =
+      clock_.Now() + open_request->client_timeout - kAnswerMargin;
+  Accept(id, *open_request);
+  Report(RequestBodyComplete{id, open_request->answer_deadline - clock_.Now()});
 }
 
-void Gateway::OnResponseStarted(const std::string& id, std::size_t attempt, ResponseMessage reply,
-                                std::shared_ptr<BodySource> rest) {
-  Exchange* const flow = Find(id);
-  if (flow == nullptr || flow->answered) return rest->Cancel();
-  flow->answered = true;
-  flow->deadline_timer.reset();
-  flow->message.reset();
-  const Millis latency = clock_.Now() - std::max(flow->attempts[attempt].sent_at, flow->body_complete_at);
-  const auto answer = std::exchange(flow->on_answer, nullptr);
-  answer({meadowyard::core::Answer::Kind::kServed, 0, std::move(reply), std::move(rest),
-          [this, name = flow->class_name](bool whole) {
+void Gateway::OnResponseStarted(const std::string& id, std::size_t attempt, ResponseMessage response,
+                                std::shared_ptr<BodySource> remaining_body) {
+  OpenRequest* const open_request = Find(id);
+  if (open_request == nullptr || open_request->answered) return remaining_body->Cancel();
+  open_request->answered = true;
+  open_request->deadline_timer.reset();
+  open_request->message.reset();
+  const Millis latency =
+      clock_.Now() - std::max(open_request->attempts[attempt].sent_at, open_request->body_complete_at);
+  const auto answer = std::exchange(open_request->on_answer, nullptr);
+  answer({meadowyard::core::Answer::Kind::kServed, 0, std::move(response), std::move(remaining_body),
+          [this, name = open_request->class_name](bool complete) {
             metrics_.OnRequestFinished(
-                name, whole ? Metrics::RequestResult::kServed : Metrics::RequestResult::kFailed);
+                name, complete ? Metrics::RequestResult::kServed : Metrics::RequestResult::kFailed);
           },
           true, nullptr, nullptr});
   Report(ResponseStarted{id, static_cast<int>(attempt), latency});
 }
 
-// Unlike a long answer, a tunnel may end while its client is told: the module hears of its beginning first.
+// Unlike a streamed response, a tunnel may close inside the call to `answer`. ResponseStarted is therefore
+// reported before it, so that the policy gets the events in order.
 void Gateway::OnTunnelOpened(const std::string& id, std::size_t attempt,
-                             std::unique_ptr<meadowyard::core::TunnelEndpoint> opened) {
-  Exchange* const flow = Find(id);
-  if (flow == nullptr || flow->answered) return OnAttemptFinished(id, attempt, AttemptResult::kCancelled, {});
-  flow->answered = true;
-  flow->deadline_timer.reset();
-  flow->message.reset();
-  metrics_.OnAttemptSent(flow->class_name);
-  const Millis latency = clock_.Now() - flow->attempts[attempt].sent_at;
-  const auto answer = std::exchange(flow->on_answer, nullptr);
+                             std::unique_ptr<meadowyard::core::TunnelEndpoint> host_connection) {
+  OpenRequest* const open_request = Find(id);
+  if (open_request == nullptr || open_request->answered)
+    return OnAttemptFinished(id, attempt, AttemptResult::kCancelled, {});
+  open_request->answered = true;
+  open_request->deadline_timer.reset();
+  open_request->message.reset();
+  metrics_.OnAttemptSent(open_request->class_name);
+  const Millis latency = clock_.Now() - open_request->attempts[attempt].sent_at;
+  const auto answer = std::exchange(open_request->on_answer, nullptr);
   Report(ResponseStarted{id, static_cast<int>(attempt), latency});
   answer({meadowyard::core::Answer::Kind::kServed,
           0,
@@ -163,17 +173,17 @@
           nullptr,
           nullptr,
           true,
-          std::move(opened),
+          std::move(host_connection),
           [this, id, attempt](TunnelEnd end) { OnTunnelClosed(id, attempt, end); }});
 }
 
 void Gateway::OnTunnelClosed(const std::string& id, std::size_t attempt, TunnelEnd end) {
-  Exchange* const flow = Find(id);
-  if (flow == nullptr) return;
-  metrics_.OnRequestFinished(flow->class_name, end == TunnelEnd::kClosed ? Metrics::RequestResult::kServed
-                                               : end == TunnelEnd::kFailedAtStart
-                                                   ? Metrics::RequestResult::kFailed
-                                                   : Metrics::RequestResult::kUncounted);
+  OpenRequest* const open_request = Find(id);
+  if (open_request == nullptr) return;
+  metrics_.OnRequestFinished(open_request->class_name,
+                             end == TunnelEnd::kClosed          ? Metrics::RequestResult::kServed
+                             : end == TunnelEnd::kFailedAtStart ? Metrics::RequestResult::kFailed
+                                                                : Metrics::RequestResult::kUncounted);
   OnAttemptFinished(id, attempt,
                     end == TunnelEnd::kFailedAtStart ? AttemptResult::kReset : AttemptResult::kServed, {});
 }
@@ -189,77 +199,81 @@
 }
 
 void Gateway::OnClientDisconnected(const std::string& id) {
-  Exchange* const flow = Find(id);
-  if (flow == nullptr || flow->answered) return Report(ClientDisconnected{id});
-  Finish(*flow, Metrics::RequestResult::kUncounted);  // nothing is owed any more
-  // What comes up from now on is not written, also where nothing may be cancelled: the first attempt that is
-  // ended may be the last of the flow.
-  std::vector<std::uint64_t> out;
-  for (const Attempt& attempt : flow->attempts) {
-    if (attempt.in_flight) out.push_back(attempt.id);
+  OpenRequest* const open_request = Find(id);
+  if (open_request == nullptr || open_request->answered) return Report(ClientDisconnected{id});
+  Finish(*open_request, Metrics::RequestResult::kUncounted);  // no answer is due any more
+  // Attempts that are not sent yet must not be sent, even where Settings::can_cancel_attempts is false. The
+  // ids are copied first, because the end of an attempt may erase the open request.
+  std::vector<std::uint64_t> in_flight_ids;
+  for (const Attempt& attempt : open_request->attempts) {
+    if (attempt.in_flight) in_flight_ids.push_back(attempt.id);
   }
-  for (const std::uint64_t number : out) upstream_.CancelIfUnsent(number);
+  for (const std::uint64_t upstream_id : in_flight_ids) upstream_.CancelIfUnsent(upstream_id);
   Report(ClientDisconnected{id});
 }
 
 void Gateway::OnAttemptFinished(const std::string& id, std::size_t attempt, AttemptResult result,
-                                ResponseMessage reply) {
-  Exchange* const flow = Find(id);
-  if (flow == nullptr) return;
-  flow->not_replayable = flow->not_replayable || (flow->body_source && flow->body_source->data_requested());
-  Attempt& ended = flow->attempts[attempt];
-  ended.in_flight = false;
-  AttemptOutcome outcome{
-      id,
-      static_cast<int>(attempt),
-      ended.endpoint,
-      result,
-      false,
-      clock_.Now() - std::max(ended.sent_at, std::min(flow->body_complete_at, clock_.Now())),
-      ParseLoad(reply.load_report, settings_.load_report_fields),
-      flow->not_replayable || clock_.Now() >= flow->retry_deadline};
-  if (result == AttemptResult::kServed && !flow->answered) {
-    Answer(*flow, Metrics::RequestResult::kServed,
-           {meadowyard::core::Answer::Kind::kServed, 0, std::move(reply), nullptr, nullptr, true, nullptr,
+                                ResponseMessage response) {
+  OpenRequest* const open_request = Find(id);
+  if (open_request == nullptr) return;
+  open_request->not_replayable = open_request->not_replayable ||
+                                 (open_request->body_source && open_request->body_source->data_requested());
+  Attempt& finished_attempt = open_request->attempts[attempt];
+  finished_attempt.in_flight = false;
+  AttemptOutcome outcome{id,
+                         static_cast<int>(attempt),
+                         finished_attempt.endpoint,
+                         result,
+                         false,
+                         clock_.Now() - std::max(finished_attempt.sent_at,
+                                                 std::min(open_request->body_complete_at, clock_.Now())),
+                         ParseLoad(response.load_report, settings_.load_report_fields),
+                         open_request->not_replayable || clock_.Now() >= open_request->retry_deadline};
+  if (result == AttemptResult::kServed && !open_request->answered) {
+    Answer(*open_request, Metrics::RequestResult::kServed,
+           {meadowyard::core::Answer::Kind::kServed, 0, std::move(response), nullptr, nullptr, true, nullptr,
             nullptr});
   }
   Report(std::move(outcome));
 }
 
-// The policy's own timers answer in time; this one is for when they came late.
+// Fallback for policy timers that fire late: normally the policy answers before the deadline.
 void Gateway::OnDeadline(const std::string& id) {
-  Exchange* const flow = Find(id);
-  if (flow == nullptr || flow->answered) return;
-  Answer(*flow, Metrics::RequestResult::kFailed, Unserved(meadowyard::core::Answer::Kind::kTimedOut));
+  OpenRequest* const open_request = Find(id);
+  if (open_request == nullptr || open_request->answered) return;
+  Answer(*open_request, Metrics::RequestResult::kFailed,
+         LocalAnswer(meadowyard::core::Answer::Kind::kTimedOut));
   Report(ClientDisconnected{id});
 }
 
 void Gateway::Report(Event event) {
-  events_.push_back(std::move(event));
-  if (reporting_) return;
-  // Whatever is thrown below, the next event finds the queue open: a gateway must not go deaf.
-  const std::unique_ptr<bool, void (*)(bool*)> reporting(&reporting_, [](bool* flag) { *flag = false; });
-  reporting_ = true;
-  while (!events_.empty()) {
-    const Event next = std::move(events_.front());
-    events_.pop_front();
+  pending_events_.push_back(std::move(event));
+  if (handling_events_) return;
+  // Resets the flag even if an exception is thrown below: if it stayed set, all later events would be queued
+  // and never handled.
+  const std::unique_ptr<bool, void (*)(bool*)> handling_guard(&handling_events_,
+                                                              [](bool* flag) { *flag = false; });
+  handling_events_ = true;
+  while (!pending_events_.empty()) {
+    const Event next = std::move(pending_events_.front());
+    pending_events_.pop_front();
     try {
       Handle(next);
-    } catch (...) {  // out of memory, perhaps: the module's time goes on all the same
+    } catch (...) {  // e.g. std::bad_alloc: a lost timer event would stop the policy's periodic work
       if (const auto* const timer = std::get_if<TimerExpired>(&next))
-        Execute(SetTimer{kTimerAgain, timer->name});
+        Execute(SetTimer{kTimerRetryDelay, timer->name});
       throw;
     }
   }
 }
 
 void Gateway::Handle(const Event& event) {
-  const std::string id = RequestOf(event);
+  const std::string id = RequestIdOf(event);
   std::vector<Action> actions;
-  if (const auto* const told = std::get_if<AttemptOutcome>(&event)) {
-    AttemptOutcome outcome = *told;
-    const Exchange* const flow = Find(id);
-    outcome.request_finished = flow == nullptr || flow->answered;
+  if (const auto* const reported_outcome = std::get_if<AttemptOutcome>(&event)) {
+    AttemptOutcome outcome = *reported_outcome;
+    const OpenRequest* const open_request = Find(id);
+    outcome.request_finished = open_request == nullptr || open_request->answered;
     policy_.Handle(clock_.Now(), outcome, actions);
   } else {
     policy_.Handle(clock_.Now(), event, actions);
@@ -270,69 +284,80 @@
   ReleaseIfFinished(id);
 }
 
-void Gateway::Execute(const StartAttempt& send) {
-  Exchange* const flow = Find(send.request);
+void Gateway::Execute(const StartAttempt& start) {
+  OpenRequest* const open_request = Find(start.request);
   const Millis now = clock_.Now();
-  // Its client's end may lie in the socket unread: what came first, a chance to send or that end, is no
-  // matter.
-  if (flow != nullptr && !flow->answered && !IsAwaited(flow)) OnClientDisconnected(send.request);
-  // A request that is over, or one attempt too many, is never sent, whatever was decided a moment ago.
-  if (flow == nullptr || flow->answered ||
-      static_cast<int>(flow->attempts.size()) >= settings_.max_attempts) {
-    const int attempt = flow == nullptr ? 0 : static_cast<int>(flow->attempts.size());
-    if (flow != nullptr) flow->attempts.push_back({send.endpoint, now, 0, false});
-    return Report(AttemptOutcome{send.request, attempt, send.endpoint, AttemptResult::kNotSent, true, 0, {}});
+  // The client may have closed its connection without the front having read that yet. Then no attempt is sent
+  // either, whichever of the two events is handled first.
+  if (open_request != nullptr && !open_request->answered && !IsAwaited(open_request))
+    OnClientDisconnected(start.request);
+  // The action may be outdated by now: nothing is sent for an answered request or beyond max_attempts.
+  if (open_request == nullptr || open_request->answered ||
+      static_cast<int>(open_request->attempts.size()) >= settings_.max_attempts) {
+    const int attempt = open_request == nullptr ? 0 : static_cast<int>(open_request->attempts.size());
+    if (open_request != nullptr) open_request->attempts.push_back({start.endpoint, now, 0, false});
+    return Report(
+        AttemptOutcome{start.request, attempt, start.endpoint, AttemptResult::kNotSent, true, 0, {}});
   }
-  const std::size_t index = flow->attempts.size();
-  flow->attempts.push_back({send.endpoint, now});
-  // A host is told no more time than is left to the client. Where it may have waited unread for longer than
-  // is known the first attempt has what it may have; a further one, what it surely has.
-  const Millis last = index == 0 ? flow->answer_deadline : flow->retry_deadline;
-  const Millis until = send.timeout > 0 ? std::min(now + send.timeout, last) : last;
-  AttemptRequest errand;
-  errand.message = flow->message;
-  errand.body_source = flow->body_source;
-  errand.deadline = until;
-  errand.still_wanted = [this, id = send.request, server = send.endpoint] {
-    return IsAwaited(Find(id)) && policy_.IsEligible(server, id);
+  const std::size_t attempt_index = open_request->attempts.size();
+  open_request->attempts.push_back({start.endpoint, now});
+  // An attempt ends before the client gives up. If the request may have waited in the socket before it was
+  // read, that time is not known exactly: the first attempt may last until the latest possible time, a retry
+  // until the earliest possible one.
+  const Millis latest_deadline =
+      attempt_index == 0 ? open_request->answer_deadline : open_request->retry_deadline;
+  const Millis attempt_deadline =
+      start.timeout > 0 ? std::min(now + start.timeout, latest_deadline) : latest_deadline;
+  AttemptRequest attempt_request;
+  attempt_request.message = open_request->message;
+  attempt_request.body_source = open_request->body_source;
+  attempt_request.deadline = attempt_deadline;
+  attempt_request.still_wanted = [this, id = start.request, endpoint_id = start.endpoint] {
+    return IsAwaited(Find(id)) && policy_.IsEligible(endpoint_id, id);
   };
-  errand.on_written = [this, name = flow->class_name] { metrics_.OnAttemptSent(name); };
-  errand.on_response_started = [this, id = send.request, index](ResponseMessage reply,
-                                                                std::shared_ptr<BodySource> rest) {
-    OnResponseStarted(id, index, std::move(reply), std::move(rest));
+  attempt_request.on_written = [this, name = open_request->class_name] { metrics_.OnAttemptSent(name); };
+  attempt_request.on_response_started = [this, id = start.request, attempt_index](
+                                            ResponseMessage response,
+                                            std::shared_ptr<BodySource> remaining_body) {
+    OnResponseStarted(id, attempt_index, std::move(response), std::move(remaining_body));
   };
-  if (flow->is_tunnel) {
-    errand.on_tunnel_opened = [this, id = send.request,
-                               index](std::unique_ptr<meadowyard::core::TunnelEndpoint> opened) {
-      OnTunnelOpened(id, index, std::move(opened));
-    };
+  if (open_request->is_tunnel) {
+    attempt_request.on_tunnel_opened =
+        [this, id = start.request,
+         attempt_index](std::unique_ptr<meadowyard::core::TunnelEndpoint> host_connection) {
+          OnTunnelOpened(id, attempt_index, std::move(host_connection));
+        };
   }
-  errand.on_finished = [this, id = send.request, index](AttemptResult result, ResponseMessage reply) {
-    OnAttemptFinished(id, index, result, std::move(reply));
+  attempt_request.on_finished = [this, id = start.request, attempt_index](AttemptResult result,
+                                                                          ResponseMessage response) {
+    OnAttemptFinished(id, attempt_index, result, std::move(response));
   };
-  const std::uint64_t number = upstream_.Start(send.endpoint, std::move(errand));
-  if (Exchange* const still = Find(send.request)) still->attempts[index].id = number;
+  const std::uint64_t upstream_id = upstream_.Start(start.endpoint, std::move(attempt_request));
+  if (OpenRequest* const remaining_request = Find(start.request))
+    remaining_request->attempts[attempt_index].id = upstream_id;
 }
 
-void Gateway::Execute(const Reject& refuse) {
-  Exchange* const flow = Find(refuse.request);
-  if (flow == nullptr) return;
-  Answer(*flow, Metrics::RequestResult::kRejected,
-         Unserved(meadowyard::core::Answer::Kind::kRejected, refuse.retry_after));
-  ReleaseIfFinished(refuse.request);
+void Gateway::Execute(const Reject& reject) {
+  OpenRequest* const open_request = Find(reject.request);
+  if (open_request == nullptr) return;
+  Answer(*open_request, Metrics::RequestResult::kRejected,
+         LocalAnswer(meadowyard::core::Answer::Kind::kRejected, reject.retry_after));
+  ReleaseIfFinished(reject.request);
 }
 
 void Gateway::Execute(const Fail& fail) {
-  Exchange* const flow = Find(fail.request);
-  if (flow == nullptr) return;
-  Answer(*flow, Metrics::RequestResult::kFailed, Unserved(meadowyard::core::Answer::Kind::kFailed));
+  OpenRequest* const open_request = Find(fail.request);
+  if (open_request == nullptr) return;
+  Answer(*open_request, Metrics::RequestResult::kFailed,
+         LocalAnswer(meadowyard::core::Answer::Kind::kFailed));
   ReleaseIfFinished(fail.request);
 }
 
 void Gateway::Execute(const CancelAttempt& cancel) {
-  Exchange* const flow = Find(cancel.request);
+  OpenRequest* const open_request = Find(cancel.request);
   const auto attempt = static_cast<std::size_t>(cancel.attempt);
-  if (flow != nullptr && attempt < flow->attempts.size()) upstream_.Cancel(flow->attempts[attempt].id);
+  if (open_request != nullptr && attempt < open_request->attempts.size())
+    upstream_.Cancel(open_request->attempts[attempt].id);
 }
 
 void Gateway::Execute(const SetTimer& timer) {
@@ -344,36 +369,37 @@
 
 void Gateway::Execute(const Log& log) { handlers_.log(log); }
 
-Gateway::Exchange* Gateway::Find(const std::string& id) {
-  const auto found = exchanges_.find(id);
-  return found == exchanges_.end() ? nullptr : &found->second;
+Gateway::OpenRequest* Gateway::Find(const std::string& id) {
+  const auto found = open_requests_.find(id);
+  return found == open_requests_.end() ? nullptr : &found->second;
 }
 
-// Somebody waits for its answer.
-bool Gateway::IsAwaited(const Exchange* flow) const {
-  return flow != nullptr && !flow->answered && !(flow->has_disconnected && flow->has_disconnected());
+bool Gateway::IsAwaited(const OpenRequest* open_request) const {
+  return open_request != nullptr && !open_request->answered &&
+         !(open_request->has_disconnected && open_request->has_disconnected());
 }
 
-void Gateway::Answer(Exchange& flow, Metrics::RequestResult end, meadowyard::core::Answer answer) {
-  if (flow.answered) return;
-  Finish(flow, end);
-  answer.attempted = !flow.attempts.empty();
-  std::exchange(flow.on_answer, nullptr)(std::move(answer));
+void Gateway::Answer(OpenRequest& open_request, Metrics::RequestResult request_result,
+                     meadowyard::core::Answer answer) {
+  if (open_request.answered) return;
+  Finish(open_request, request_result);
+  answer.attempted = !open_request.attempts.empty();
+  std::exchange(open_request.on_answer, nullptr)(std::move(answer));
 }
 
-void Gateway::Finish(Exchange& flow, Metrics::RequestResult end) {
-  flow.answered = true;
-  flow.deadline_timer.reset();
-  flow.message.reset();  // attempts that are still out have their own
-  metrics_.OnRequestFinished(flow.class_name, end, flow.accepted);
+void Gateway::Finish(OpenRequest& open_request, Metrics::RequestResult request_result) {
+  open_request.answered = true;
+  open_request.deadline_timer.reset();
+  open_request.message.reset();  // attempts in flight share ownership of it
+  metrics_.OnRequestFinished(open_request.class_name, request_result, open_request.accepted);
 }
 
 void Gateway::ReleaseIfFinished(const std::string& id) {
-  const auto found = exchanges_.find(id);
-  if (found == exchanges_.end() || !found->second.answered) return;
+  const auto found = open_requests_.find(id);
+  if (found == open_requests_.end() || !found->second.answered) return;
   const auto& attempts = found->second.attempts;
   if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; })) {
-    exchanges_.erase(found);
+    open_requests_.erase(found);
   }
 }
 
--- a/src/core/gateway.hpp
+++ b/src/core/gateway.hpp
@@ -1,5 +1,6 @@
-// The core: what takes a request, reports Events to the decision module, carries out its Actions and ends the
-// request. Knows no protocol, no socket and no list's form.
+/// @file
+/// The core of the gateway. Accepts requests, reports Events to the decision module (Policy), executes its
+/// Actions and answers the requests. Independent of client protocols, sockets and the format of host lists.
 #ifndef MEADOWYARD_CORE_GATEWAY_HPP_
 #define MEADOWYARD_CORE_GATEWAY_HPP_
 
@@ -20,35 +21,41 @@
 
 namespace meadowyard::core {
 
+/// Connects the fronts, the policy and the upstream. Used from one thread.
 class Gateway {
  public:
+  /// Actions of the policy that the service around the core executes.
   struct Handlers {
-    std::function<void()> poll_endpoints;  // the module asks for the list of hosts
+    std::function<void()> poll_endpoints;  // the policy requests the list of hosts
     std::function<void(const Log& entry)> log;
   };
-  // Throws ConfigurationError naming the field when the settings can't work. `clock` and `upstream`
-  // outlive it.
+  /// Throws ConfigurationError naming the field when the settings can't work. `clock` and `upstream` must
+  /// outlive the gateway.
   Gateway(Clock& clock, const Settings& settings, std::uint64_t seed, Upstream& upstream, Handlers handlers);
 
-  // ---- For fronts: each request that is taken gets one answer ----
-  Policy::Admission CheckAdmission(const std::string& class_name, Idempotency effect);
+  // ---- For fronts: each submitted request gets exactly one answer ----
+  /// Whether a request of this class and idempotency would be accepted now.
+  Policy::Admission CheckAdmission(const std::string& class_name, Idempotency idempotency);
+  /// The answer goes to ClientRequest::on_answer, possibly before Submit returns.
   void Submit(ClientRequest request);
-  // The body that was still coming is whole: from now on the request's time counts.
+  /// The remainder of the request's body has arrived: its client timeout counts from now.
   void OnBodyComplete(const std::string& id);
-  // A tunnel that another process opened goes on here; returns what its end is to be told to.
+  /// Continues a tunnel that another process of this gateway opened. The returned function is to be called
+  /// when the tunnel ends.
   std::function<void(TunnelEnd)> AdoptTunnel(const std::string& class_name, const std::string& host);
-  // The client of an unanswered request has left.
+  /// The client of an unanswered request has disconnected.
   void OnClientDisconnected(const std::string& id);
 
-  // ---- For what surrounds the core ----
-  // Hands an event to the policy and carries out what it says, one event after the other: what an action
-  // causes at once waits in the queue.
+  // ---- For the service around the core ----
+  /// Passes an event to the policy and executes the resulting actions. Events are handled one after the
+  /// other: those that an action causes synchronously are queued.
   void Report(Event event);
+  /// Replaces the settings. Throws ConfigurationError if the policy rejects them.
   void Configure(const Settings& settings);
-  // Answers all that is open, and refuses what comes from now on: the process ends.
+  /// Fails all unanswered requests and rejects new ones from now on, because the process is shutting down.
   void FailAll();
-  // No request is open here.
-  bool empty() const { return exchanges_.empty(); }
+  /// Whether no request is open.
+  bool empty() const { return open_requests_.empty(); }
   const Policy& policy() const { return policy_; }
   Metrics& metrics() { return metrics_; }
 
@@ -56,53 +63,57 @@
   struct Attempt {
     std::string endpoint;
     Millis sent_at = 0;
-    std::uint64_t id = 0;  // the upstream's
+    std::uint64_t id = 0;  // returned by Upstream::Start
     bool in_flight = true;
   };
-  // A client's request, until it is answered and all its attempts have ended.
-  struct Exchange {
+  // A request from its submission until it is answered and all its attempts have ended.
+  struct OpenRequest {
     std::shared_ptr<const RequestMessage> message;
-    std::shared_ptr<BodySource> body_source;  // of its body, until that is whole
+    std::shared_ptr<BodySource> body_source;  // remainder of its body, until it is complete
     std::function<void(meadowyard::core::Answer)> on_answer;
-    std::function<bool()> has_disconnected;  // its client has left, told or not
+    std::function<bool()> has_disconnected;  // see ClientRequest::has_disconnected
     std::string class_name;
-    Millis client_timeout = 0;    // from when it is whole
-    Millis body_complete_at = 0;  // 0: it is not whole yet
-    bool accepted = false;        // as taken
-    bool is_tunnel = false;       // its answer is an open way to a host
-    bool not_replayable = false;  // pieces of its body are gone: it can't be sent again
-    Millis retry_deadline = 0;    // its client surely waits until then: for further attempts
-    Millis answer_deadline = 0;   // by then the policy's answer must be under way
+    Millis client_timeout = 0;    // counted from the complete request
+    Millis body_complete_at = 0;  // 0: it is not complete yet
+    bool accepted = false;        // counted as accepted in the metrics
+    bool is_tunnel = false;       // answered with an open connection to a host
+    bool not_replayable = false;  // parts of its body were not kept: it can't be sent again
+    Millis retry_deadline = 0;    // for retries: earliest time at which the client may give up
+    Millis answer_deadline = 0;   // latest time at which the policy has to answer
     bool answered = false;
     std::vector<Attempt> attempts;
     std::unique_ptr<Clock::Timer> deadline_timer;
   };
 
-  void Accept(const std::string& id, Exchange& flow);
-  // An attempt has a long answer, which goes to the client as it comes.
-  void OnResponseStarted(const std::string& id, std::size_t attempt, ResponseMessage reply,
-                         std::shared_ptr<BodySource> rest);
+  // The request is complete: counts it as accepted and starts its deadline timer.
+  void Accept(const std::string& id, OpenRequest& open_request);
+  // An attempt has a streamed response, which is forwarded to the client as it arrives.
+  void OnResponseStarted(const std::string& id, std::size_t attempt, ResponseMessage response,
+                         std::shared_ptr<BodySource> remaining_body);
   void OnAttemptFinished(const std::string& id, std::size_t attempt, AttemptResult result,
-                         ResponseMessage reply);
+                         ResponseMessage response);
   void OnTunnelOpened(const std::string& id, std::size_t attempt,
-                      std::unique_ptr<meadowyard::core::TunnelEndpoint> opened);
+                      std::unique_ptr<meadowyard::core::TunnelEndpoint> host_connection);
   void OnTunnelClosed(const std::string& id, std::size_t attempt, TunnelEnd end);
   void OnDeadline(const std::string& id);
 
   void Handle(const Event& event);
-  void Execute(const StartAttempt& send);
-  void Execute(const Reject& refuse);
+  void Execute(const StartAttempt& start);
+  void Execute(const Reject& reject);
   void Execute(const Fail& fail);
   void Execute(const CancelAttempt& cancel);
   void Execute(const SetTimer& timer);
-  void Execute(const PollEndpoints& watch);
+  void Execute(const PollEndpoints& poll);
   void Execute(const Log& log);
 
-  Exchange* Find(const std::string& id);
-  bool IsAwaited(const Exchange* flow) const;
-  void Answer(Exchange& flow, Metrics::RequestResult end, meadowyard::core::Answer answer);
-  // Every request that was taken ends here, and is counted here.
-  void Finish(Exchange& flow, Metrics::RequestResult end);
+  OpenRequest* Find(const std::string& id);
+  // Whether a client still waits for the answer.
+  bool IsAwaited(const OpenRequest* open_request) const;
+  void Answer(OpenRequest& open_request, Metrics::RequestResult request_result,
+              meadowyard::core::Answer answer);
+  // Ends a request that gets no streamed response and no tunnel, and counts its result.
+  void Finish(OpenRequest& open_request, Metrics::RequestResult request_result);
+  // Erases an open request that is answered and has no attempt in flight.
   void ReleaseIfFinished(const std::string& id);
 
   Clock& clock_;
@@ -111,11 +122,11 @@
   Metrics metrics_;
   Upstream& upstream_;
   const Handlers handlers_;
-  std::unordered_map<std::string, Exchange> exchanges_;
-  std::map<std::string, std::unique_ptr<Clock::Timer>> timers_;  // the module's, by name
-  std::deque<Event> events_;
-  bool reporting_ = false;
-  bool ending_ = false;
+  std::unordered_map<std::string, OpenRequest> open_requests_;
+  std::map<std::string, std::unique_ptr<Clock::Timer>> timers_;  // the policy's, by name
+  std::deque<Event> pending_events_;
+  bool handling_events_ = false;
+  bool shutting_down_ = false;
 };
 
 }  // namespace meadowyard::core
--- a/src/core/message.cpp
+++ b/src/core/message.cpp
@@ -11,9 +11,10 @@
 }
 
 void Fields::Add(std::string_view name, std::string_view value) {
-  const auto at = static_cast<std::uint32_t>(text_.size());
+  const auto offset = static_cast<std::uint32_t>(text_.size());
   text_.append(name).append(value);
-  entries_.push_back({at, static_cast<std::uint32_t>(name.size()), static_cast<std::uint32_t>(value.size())});
+  entries_.push_back(
+      {offset, static_cast<std::uint32_t>(name.size()), static_cast<std::uint32_t>(value.size())});
 }
 
 void Fields::Set(std::string_view name, std::string_view value) {
@@ -22,19 +23,20 @@
 }
 
 void Fields::Erase(std::string_view name) {
-  std::erase_if(entries_, [&](const Entry& e) { return EqualFieldNames(NameOf(e), name); });
+  std::erase_if(entries_, [&](const Entry& entry) { return EqualFieldNames(NameOf(entry), name); });
 }
 
 std::string_view Fields::Get(std::string_view name) const {
-  for (const Entry& e : entries_) {
-    if (EqualFieldNames(NameOf(e), name)) return ValueOf(e);
+  for (const Entry& entry : entries_) {
+    if (EqualFieldNames(NameOf(entry), name)) return ValueOf(entry);
   }
   return {};
 }
 
 std::size_t Fields::Count(std::string_view name) const {
-  return static_cast<std::size_t>(std::count_if(
-      entries_.begin(), entries_.end(), [&](const Entry& e) { return EqualFieldNames(NameOf(e), name); }));
+  return static_cast<std::size_t>(std::count_if(entries_.begin(), entries_.end(), [&](const Entry& entry) {
+    return EqualFieldNames(NameOf(entry), name);
+  }));
 }
 
 }  // namespace meadowyard::core
--- a/src/core/metrics.cpp
+++ b/src/core/metrics.cpp
@@ -5,24 +5,25 @@
 namespace meadowyard::core {
 namespace {
 
-constexpr std::size_t kMostClasses = 256;  // with those that were dropped: files may name ever new ones
+// Includes classes that are no longer in the settings: each reload may bring new names.
+constexpr std::size_t kMaxClasses = 256;
 
 }  // namespace
 
 void Metrics::SetClasses(const std::vector<TrafficClassSettings>& classes) {
-  for (auto& [name, counts] : classes_) counts.known = false;
-  for (const TrafficClassSettings& c : classes) classes_[c.name].known = true;
-  for (auto it = classes_.begin(); it != classes_.end() && classes_.size() > kMostClasses;) {
-    it = it->second.known ? std::next(it) : classes_.erase(it);
+  for (auto& [name, counts] : classes_) counts.in_settings = false;
+  for (const TrafficClassSettings& c : classes) classes_[c.name].in_settings = true;
+  for (auto it = classes_.begin(); it != classes_.end() && classes_.size() > kMaxClasses;) {
+    it = it->second.in_settings ? std::next(it) : classes_.erase(it);
   }
 }
 
-void Metrics::OnRequestFinished(const std::string& class_name, RequestResult end, bool taken) {
-  if (taken) --current_;
+void Metrics::OnRequestFinished(const std::string& class_name, RequestResult result, bool accepted) {
+  if (accepted) --open_requests_;
   Counts& counts = classes_[class_name];
-  if (end == RequestResult::kServed) ++counts.answered;
-  if (end == RequestResult::kRejected) ++counts.deferred;
-  if (end == RequestResult::kFailed) ++counts.errored;
+  if (result == RequestResult::kServed) ++counts.answered;
+  if (result == RequestResult::kRejected) ++counts.deferred;
+  if (result == RequestResult::kFailed) ++counts.errored;
 }
 
 void Metrics::OnAttemptSent(const std::string& class_name) {
@@ -30,21 +31,21 @@
   ++classes_[class_name].sends;
 }
 
-std::string Metrics::ToJson(const Policy::Stats& hosts) const {
+std::string Metrics::ToJson(const Policy::Stats& stats) const {
   nlohmann::json classes = nlohmann::json::object();
   for (const auto& [name, c] : classes_) {
     classes[name] = {
         {"answered", c.answered}, {"deferred", c.deferred}, {"errored", c.errored}, {"sends", c.sends}};
   }
-  const nlohmann::json figures = {{"transactions", std::move(classes)},
+  const nlohmann::json metrics = {{"transactions", std::move(classes)},
                                   {"sends", sends_},
-                                  {"current", current_},
-                                  {"cluster_size", hosts.endpoints},
-                                  {"cluster_unhealthy", hosts.unavailable},
-                                  {"conf_loaded", loaded_},
-                                  {"conf_invalid", invalid_}};
-  // Names come from a file: what is no UTF-8 in them must not keep the figures back.
-  return figures.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
+                                  {"current", open_requests_},
+                                  {"cluster_size", stats.endpoints},
+                                  {"cluster_unhealthy", stats.unavailable},
+                                  {"conf_loaded", configurations_loaded_},
+                                  {"conf_invalid", configurations_rejected_}};
+  // Class names come from a file: invalid UTF-8 in one is replaced, as it would otherwise make dump() throw.
+  return metrics.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
 }  // namespace meadowyard::core
--- a/src/core/metrics.hpp
+++ b/src/core/metrics.hpp
@@ -1,5 +1,6 @@
-// What the gateway counts for its operators. Counted where a request is taken and where it ends, and nowhere
-// else; all counts begin at 0 with the process.
+/// @file
+/// Counters of the gateway for its operators. A request is counted in two places only, where it is accepted
+/// and where it is finished. All counters start at 0 with the process.
 #ifndef MEADOWYARD_CORE_METRICS_HPP_
 #define MEADOWYARD_CORE_METRICS_HPP_
 
@@ -12,31 +13,34 @@
 
 namespace meadowyard::core {
 
+/// Counters over all requests and for each traffic class.
 class Metrics {
  public:
-  // How a request ended: served, refused or failed; or its client left, which counts under none.
+  /// How a request ended. kUncounted: its client disconnected before it was answered, or its tunnel was
+  /// handed over to another process; none of the counters includes it.
   enum class RequestResult { kServed, kRejected, kFailed, kUncounted };
 
-  // The classes that are shown though nothing was asked of them yet.
+  /// Sets the classes that are listed even before their first request.
   void SetClasses(const std::vector<TrafficClassSettings>& classes);
 
-  void OnRequestAccepted() { ++current_; }
-  // `taken`: whether the request was counted as taken before.
-  void OnRequestFinished(const std::string& class_name, RequestResult end, bool taken = true);
-  // An attempt was written whole to a host.
+  void OnRequestAccepted() { ++open_requests_; }
+  /// `accepted`: whether OnRequestAccepted was called for this request.
+  void OnRequestFinished(const std::string& class_name, RequestResult result, bool accepted = true);
+  /// An attempt was written completely to a host.
   void OnAttemptSent(const std::string& class_name);
-  // A file was taken, or turned down, at SIGHUP.
-  void OnConfigurationRead(bool taken) { ++(taken ? loaded_ : invalid_); }
+  /// A configuration file was read at SIGHUP, and applied or rejected as invalid.
+  void OnConfigurationRead(bool valid) { ++(valid ? configurations_loaded_ : configurations_rejected_); }
 
-  std::string ToJson(const Policy::Stats& hosts) const;
+  /// All counters as one JSON object, with `stats` of the policy.
+  std::string ToJson(const Policy::Stats& stats) const;
 
  private:
   struct Counts {
     std::uint64_t answered = 0, deferred = 0, errored = 0, sends = 0;
-    bool known = true;  // by the settings in force
+    bool in_settings = true;  // the class exists in the settings in force
   };
   std::map<std::string, Counts> classes_;
-  std::uint64_t current_ = 0, sends_ = 0, loaded_ = 0, invalid_ = 0;
+  std::uint64_t open_requests_ = 0, sends_ = 0, configurations_loaded_ = 0, configurations_rejected_ = 0;
 };
 
 }  // namespace meadowyard::core
--- a/src/core/tunnel_endpoint.hpp
+++ b/src/core/tunnel_endpoint.hpp
@@ -1,4 +1,5 @@
-// The host's end of a tunnel.
+/// @file
+/// The host's end of a tunnel.
 #ifndef MEADOWYARD_CORE_TUNNEL_ENDPOINT_HPP_
 #define MEADOWYARD_CORE_TUNNEL_ENDPOINT_HPP_
 
@@ -7,16 +8,18 @@
 
 namespace meadowyard::core {
 
+/// An open connection to the host of a tunnel.
 struct TunnelEndpoint {
-  std::string endpoint;
+  std::string endpoint;  // id of the host
   boost::asio::ip::tcp::socket socket;
-  std::string unread;  // what the host said already, behind a parent proxy's handshake
+  std::string unread;  // bytes received from the host already, behind the parent proxy's handshake
 };
 
+/// How a tunnel ended.
 enum class TunnelEnd {
-  kClosed,         // however long it lived, and whoever ended it
-  kFailedAtStart,  // by its host, at the very beginning: the host is held against it
-  kHandedOver,     // to the next process, which counts it
+  kClosed,         // by either side, after any time
+  kFailedAtStart,  // reset by its host right after it was opened: counts as a failure of the host
+  kHandedOver,     // to the successor process in a hot restart, which counts its end
 };
 
 }  // namespace meadowyard::core
--- a/src/core/upstream.hpp
+++ b/src/core/upstream.hpp
@@ -1,4 +1,5 @@
-// What the core needs of whatever carries requests to hosts.
+/// @file
+/// Interface between the core and the connections that carry attempts to hosts.
 #ifndef MEADOWYARD_CORE_UPSTREAM_HPP_
 #define MEADOWYARD_CORE_UPSTREAM_HPP_
 
@@ -11,30 +12,38 @@
 
 namespace meadowyard::core {
 
-// One attempt: what is sent, and who is told of its course.
+/// One attempt: what is sent, and the callbacks that report its progress.
 struct AttemptRequest {
   std::shared_ptr<const RequestMessage> message;
-  std::shared_ptr<BodySource> body_source;  // of its body, where that is still coming
-  Millis deadline = 0;                      // of the whole attempt; with a rest, as long after that is whole
-  // Asked once the way to the host is open: whether anyone still waits for the answer.
+  std::shared_ptr<BodySource> body_source;  // remainder of a body that is still arriving; null if complete
+  /// End of the whole attempt. Where the body is still arriving, the time that is left when the attempt
+  /// starts counts from the completion of the body instead.
+  Millis deadline = 0;
+  /// Called when the connection to the host is open: whether the attempt is still to be sent.
   std::function<bool()> still_wanted = [] { return true; };
-  std::function<void()> on_written = [] {};  // it was written whole
-  // Its answer is a long one: the head with the first piece of the body, and the rest. `on_finished` still follows.
+  /// The request was written completely.
+  std::function<void()> on_written = [] {};
+  /// The response is streamed: its head with the first piece of the body, and the remainder of the body.
+  /// `on_finished` still follows.
   std::function<void(ResponseMessage, std::shared_ptr<BodySource>)> on_response_started;
-  // For a tunnel: the way to the host is open, and belongs to whoever is told. `on_finished` does not follow.
+  /// Set for a tunnel alone. The connection to the host is open and its ownership passes to the callee.
+  /// `on_finished` does not follow.
   std::function<void(std::unique_ptr<TunnelEndpoint>)> on_tunnel_opened;
-  // How it ended; the reply is the host's, if there was one. Called once, perhaps before Start returns.
+  /// How the attempt ended, with the host's response if there was one. Called once, possibly before Start
+  /// returns.
   std::function<void(AttemptResult, ResponseMessage)> on_finished;
 };
 
+/// Carries attempts to hosts.
 class Upstream {
  public:
   virtual ~Upstream() = default;
-  // Sends the call unless the host is not to be used any more. Returns a number for Cancel.
-  virtual std::uint64_t Start(const std::string& host, AttemptRequest errand) = 0;
-  // Ends an attempt that is still out, with kCancelled.
+  /// Starts an attempt, which ends with kNotSent if the host must not be used any more. Returns the id of the
+  /// attempt for Cancel and CancelIfUnsent.
+  virtual std::uint64_t Start(const std::string& host, AttemptRequest request) = 0;
+  /// Ends an attempt that is still in flight, with kCancelled.
   virtual void Cancel(std::uint64_t attempt) = 0;
-  // Ends an attempt of which its host has not been sent all, with kNotSent, and leaves any other alone.
+  /// Ends an attempt that has not been written completely, with kNotSent; has no effect on any other.
   virtual void CancelIfUnsent(std::uint64_t attempt) = 0;
 };
 
