--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -200,7 +200,7 @@
   if (count == std::exchange(others_, count)) return;
   budget_ = ComputeBudget(MeansOf(config_, edge_file_.get()), others_);
   clients_.SetPlaces(budget_.client_sessions, budget_.idle_eviction_threshold);
-  hosts_.SetMost(budget_.host_connections);
+  hosts_.SetMaxConnections(budget_.host_connections);
   core_.Configure(Fitted());
 }
 
@@ -267,7 +267,7 @@
 void Service::OnMaintenanceChanged(const operations::MaintenanceChange& change) {
   if (change.in_maintenance) {
     core_.Report(MaintenanceStarted{change.host_id});
-    hosts_.Rest(change.host_id);
+    hosts_.CloseIdleConnections(change.host_id);
   } else {
     core_.Report(MaintenanceEnded{change.host_id});
   }
--- a/src/fronts/http/request_reader.cpp
+++ b/src/fronts/http/request_reader.cpp
@@ -13,7 +13,7 @@
   if (buffer_.size() == 0 && buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
   parser_.emplace();
   parser_->body_limit(core::kMaxBodyBytes);
-  parser_->header_limit(kMostHeader);
+  parser_->header_limit(kMaxHeaderBytes);
 }
 
 std::optional<std::uint64_t> RequestReader::length() const {
--- a/src/fronts/http/session.cpp
+++ b/src/fronts/http/session.cpp
@@ -143,7 +143,8 @@
     return Send(FaultPage(400, "where the body ends is not clear"));
   }
   if (reader_.done()) return Take();
-  if (!server_.Reserve(std::min(reader_.length().value_or(kMostBody), kMostBody), reserved_)) {
+  if (!server_.Reserve(std::min(reader_.length().value_or(kMaxBufferedBodyBytes), kMaxBufferedBodyBytes),
+                       reserved_)) {
     return Send(FaultPage(503, "no memory for the body"));
   }
   in_body_ = true;
@@ -163,7 +164,7 @@
     came_on_ = core::Now();
     if (ec) return Unreadable(ec);
     body_.append(piece);
-    reader_.done() || body_.size() > kMostBody ? Take() : ReadBody();
+    reader_.done() || body_.size() > kMaxBufferedBodyBytes ? Take() : ReadBody();
   });
 }
 
--- a/src/http/messages.hpp
+++ b/src/http/messages.hpp
@@ -16,8 +16,8 @@
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-constexpr std::uint64_t kMostBody = 64 << 10;  // that is buffered; a longer body is streamed
-constexpr std::uint32_t kMostHeader = 16 * 1024;
+constexpr std::uint64_t kMaxBufferedBodyBytes = 64 << 10;  // that is buffered; a longer body is streamed
+constexpr std::uint32_t kMaxHeaderBytes = 16 * 1024;
 
 inline std::string_view View(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
--- a/src/upstream/answer_reader.cpp
+++ b/src/upstream/answer_reader.cpp
@@ -72,7 +72,7 @@
 void AnswerReader::ReadHead() {
   parser_.emplace();
   parser_->body_limit(core::kMaxBodyBytes);
-  parser_->header_limit(kMostHeader);
+  parser_->header_limit(kMaxHeaderBytes);
   http::async_read_header(socket_, buffer_, *parser_,
                           [this, owner = handlers_.owner(), turn = turn_](error_code ec, std::size_t) {
                             if (turn_ == turn) HeadRead(ec);
@@ -119,10 +119,12 @@
     if (ec) return handlers_.failed(AttemptResult::kReset);
     body_.append(piece);
     const AttemptResult result = ToResult(parser_->get());
-    if (parser_->is_done() && body_.size() <= kMostBody) {
+    if (parser_->is_done() && body_.size() <= kMaxBufferedBodyBytes) {
       return handlers_.received(result, TakeReply(), keep_alive_);
     }
-    if (body_.size() <= kMostBody && parser_->content_length().value_or(0) <= kMostBody) return ReadBody();
+    if (body_.size() <= kMaxBufferedBodyBytes &&
+        parser_->content_length().value_or(0) <= kMaxBufferedBodyBytes)
+      return ReadBody();
     if (result != AttemptResult::kServed) return handlers_.failed(result);  // nobody wants the rest of it
     BeginStream();
   });
--- a/src/upstream/host_pool.cpp
+++ b/src/upstream/host_pool.cpp
@@ -20,7 +20,7 @@
 HostPool::HostPool(asio::io_context& io, Limits limits, Handlers handlers)
     : io_(io), limits_(limits), handlers_(std::move(handlers)) {}
 
-void HostPool::Rest(const std::string& host) {
+void HostPool::CloseIdleConnections(const std::string& host) {
   if (const auto found = hosts_.find(host); found != hosts_.end()) CloseIdle(found->second);
 }
 
@@ -85,7 +85,7 @@
   Connection::Job job{std::move(errand), attempt, patience};
   auto& idle = found->second.idle;
   // The most recently used of those that have rested for long enough: they are in that order.
-  const Millis rested = core::Now() - limits_.second_answer;
+  const Millis rested = core::Now() - limits_.min_idle_before_reuse;
   auto end = std::find_if(idle.begin(), idle.end(), [&](const auto& c) { return c->rested_at() > rested; });
   while (end != idle.begin()) {
     end = std::prev(end);
--- a/src/upstream/host_pool.hpp
+++ b/src/upstream/host_pool.hpp
@@ -27,7 +27,7 @@
     std::size_t connections = 256;  // over all hosts
     // A host may answer a request a second time, some milliseconds later: on a connection that had gone on to
     // the next request by then, nothing would tell the one from the other. So it rests for this long first.
-    Millis second_answer = 20;
+    Millis min_idle_before_reuse = 20;
   };
   struct Handlers {
     std::function<bool(const std::string& host)> may_use;  // asked again once a dial has taken its time
@@ -40,7 +40,7 @@
   // is being dialled.
   void Update(const discovery::EndpointList& list);
   // Closes the idle connections to a host that is left alone for a while.
-  void Rest(const std::string& host);
+  void CloseIdleConnections(const std::string& host);
   // Hosts' time-outs as the settings have them now.
   void SetTimes(Millis dial_timeout, Millis idle_timeout);
 
@@ -59,7 +59,7 @@
   void PassIdle(Pass pass);
   // Takes a connection that another process passed on, if it is of use.
   void Adopt(const std::string& host, const boost::asio::ip::tcp::endpoint& address, int fd);
-  void SetMost(std::size_t connections) { limits_.connections = connections; }
+  void SetMaxConnections(std::size_t connections) { limits_.connections = connections; }
 
   std::size_t connections() const { return connections_; }
 
--- a/tests/world.hpp
+++ b/tests/world.hpp
@@ -73,7 +73,7 @@
   }
   // Until connections to hosts have rested for as long as a second answer may take: then they are used again.
   void LetHostsRest() {
-    const Millis until = core::Now() + 2 * meadowyard::HostPool::Limits().second_answer;
+    const Millis until = core::Now() + 2 * meadowyard::HostPool::Limits().min_idle_before_reuse;
     EXPECT_TRUE(Until([&] { return core::Now() > until; }));
   }
   std::unique_ptr<Client> Connect() { return std::make_unique<Client>(io, gateway->address()); }
