--- a/src/http/messages.hpp
+++ b/src/http/messages.hpp
@@ -1,4 +1,5 @@
-// HTTP/1.1 messages as both sides of the gateway read and write them (RFC 9110, RFC 9112).
+/// @file
+/// HTTP/1.1 messages as the client and the host side of the gateway read and write them (RFC 9110, RFC 9112).
 #ifndef MEADOWYARD_HTTP_MESSAGES_HPP_
 #define MEADOWYARD_HTTP_MESSAGES_HPP_
 
@@ -16,14 +17,14 @@
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-constexpr std::uint64_t kMaxBufferedBodyBytes = 64 << 10;  // that is buffered; a longer body is streamed
+constexpr std::uint64_t kMaxBufferedBodyBytes = 64 << 10;  // longer bodies are streamed
 constexpr std::uint32_t kMaxHeaderBytes = 16 * 1024;
 
 inline std::string_view View(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-// What concerns one connection alone, and so must not be passed on (RFC 9110, section 7.6.1); and what says
-// where a body ends, which is said anew.
-inline bool HopByHop(boost::beast::http::field name) {
+/// Fields that concern a single connection and must not be forwarded (RFC 9110, section 7.6.1), and the
+/// framing fields, which are generated anew for the next hop.
+inline bool IsHopByHop(boost::beast::http::field name) {
   using boost::beast::http::field;
   switch (name) {
     case field::connection:
@@ -39,12 +40,12 @@
   }
 }
 
-// The fields that are passed on.
+/// The fields that are forwarded.
 template <typename Head>
 core::Fields EndToEnd(const Head& head) {
   core::Fields fields;
   for (const auto& field : head) {
-    if (!HopByHop(field.name())) fields.Add(View(field.name_string()), View(field.value()));
+    if (!IsHopByHop(field.name())) fields.Add(View(field.name_string()), View(field.value()));
   }
   return fields;
 }
@@ -55,8 +56,9 @@
   });
 }
 
-// What a head says of where its body ends, beyond what the parser demands: it lets some codings and repeated
-// lengths pass, by which two readers of one message may find different ends.
+/// How a head delimits its body (RFC 9112, section 6), checked more strictly than by the parser: that accepts
+/// some transfer codings and repeated lengths with which two recipients may see the body end at different
+/// places (request smuggling). kAmbiguous: such a head.
 enum class Framing { kNone, kDelimited, kAmbiguous };
 
 template <typename Head>
@@ -65,8 +67,8 @@
   const auto lengths = head.count(field::content_length);
   const auto codings = head.count(field::transfer_encoding);
   if (lengths + codings == 0) return Framing::kNone;
-  const bool plain = codings == 0 || boost::beast::iequals(head[field::transfer_encoding], "chunked");
-  return lengths + codings == 1 && plain ? Framing::kDelimited : Framing::kAmbiguous;
+  const bool only_chunked = codings == 0 || boost::beast::iequals(head[field::transfer_encoding], "chunked");
+  return lengths + codings == 1 && only_chunked ? Framing::kDelimited : Framing::kAmbiguous;
 }
 
 }  // namespace meadowyard
--- a/src/upstream/answer_reader.hpp
+++ b/src/upstream/answer_reader.hpp
@@ -1,4 +1,6 @@
-// Reads a host's answers in HTTP/1.1: short ones whole, long ones as they are asked for.
+/// @file
+/// Reads a host's HTTP/1.1 responses from a connection: short ones are buffered completely, long ones are
+/// streamed piece by piece on request.
 #ifndef MEADOWYARD_UPSTREAM_ANSWER_READER_HPP_
 #define MEADOWYARD_UPSTREAM_ANSWER_READER_HPP_
 
@@ -17,55 +19,58 @@
 
 namespace meadowyard {
 
-class AnswerReader {
+/// Reads one response at a time from a socket that the caller owns.
+class ResponseReader {
  public:
   struct Handlers {
-    std::function<std::shared_ptr<void>()> owner;  // kept while something is awaited
-    // It was read whole; `keep_alive`: the connection can be used again.
-    std::function<void(AttemptResult, core::ResponseMessage, bool keep_alive)> received;
-    // A long one has begun; `streamed` or `failed` follows.
-    std::function<void(core::ResponseMessage, std::shared_ptr<core::BodySource>)> begun;
-    std::function<void(bool keep_alive)> streamed;
-    std::function<void(bool waiting)> awaits_host;  // a piece is awaited from the host, or was taken in
-    std::function<void()> abandoned;                // by whoever passes the long one on
-    // What can't be read, or can't be proved whole, is no answer: the request may have run.
-    std::function<void(AttemptResult)> failed;
+    std::function<std::shared_ptr<void>()> owner;  // what it returns is kept alive while a read is pending
+    // The response is complete. `keep_alive`: the host keeps the connection open (RFC 9112, section 9.3).
+    std::function<void(AttemptResult, core::ResponseMessage, bool keep_alive)> on_response;
+    // A streamed response has started; `on_stream_finished` or `on_failed` follows.
+    std::function<void(core::ResponseMessage, std::shared_ptr<core::BodySource>)> on_stream_started;
+    std::function<void(bool keep_alive)> on_stream_finished;
+    std::function<void(bool waiting)> on_waiting_for_host;  // `waiting`: a read of a piece is pending
+    std::function<void()> on_cancelled;                     // the receiver of the stream has cancelled it
+    // The response is unreadable or not provably complete, so it is discarded: the request may have been
+    // executed.
+    std::function<void(AttemptResult)> on_failed;
   };
-  AnswerReader(boost::asio::ip::tcp::socket& socket, Handlers handlers)
+  ResponseReader(boost::asio::ip::tcp::socket& socket, Handlers handlers)
       : socket_(socket), handlers_(std::move(handlers)) {}
 
   void Read();
-  bool streams() const { return stream_ != nullptr; }
-  // Bytes that no request asked for.
-  bool Unasked() const { return buffer_.size() > 0; }
-  // Forgets the answer; a stream of it is broken.
+  /// Whether a streamed response is in progress.
+  bool is_streaming() const { return stream_ != nullptr; }
+  /// Whether bytes were received beyond the end of the last response, which belong to no request.
+  bool HasUnrequestedBytes() const { return buffer_.size() > 0; }
+  /// Drops the response in progress; its stream ends with kBroken.
   void Reset();
-  // The connection idles: holds on to little.
-  void Rest();
+  /// Releases most memory, for an idle connection.
+  void ReleaseBuffers();
 
  private:
   struct Stream;
   void ReadHead();
-  void HeadRead(boost::system::error_code ec);
-  template <typename Then>
-  void ReadPiece(Then then);
+  void OnHeadRead(boost::system::error_code ec);
+  template <typename Callback>
+  void ReadPiece(Callback callback);
   void ReadBody();
   void BeginStream();
-  void ReadOn(core::BodySource::DataCallback take);
+  void ReadNextPiece(core::BodySource::DataCallback on_data);
   void EndStream(core::BodySource::Status end);
-  core::ResponseMessage TakeReply();
+  core::ResponseMessage TakeResponse();
 
   boost::asio::ip::tcp::socket& socket_;
   const Handlers handlers_;
-  boost::beast::flat_buffer buffer_{32768};  // holds a whole head; bodies pass through it
+  boost::beast::flat_buffer buffer_{32768};  // large enough for a complete head; bodies pass through it
   std::optional<boost::beast::http::response_parser<boost::beast::http::buffer_body>> parser_;
-  std::string body_;                    // of a short answer, or the first of a long one
-  std::string piece_;                   // as it is read
-  std::shared_ptr<Stream> stream_;      // the long answer that is being passed on
-  core::BodySource::DataCallback ask_;  // who waits for a piece of it
-  bool keep_alive_ = false;             // after it
-  int interim_ = 0;
-  std::uint64_t turn_ = 0;
+  std::string body_;                        // of a short response, or the first part of a streamed one
+  std::string piece_;                       // buffer of the read in progress
+  std::shared_ptr<Stream> stream_;          // the streamed response in progress
+  core::BodySource::DataCallback on_data_;  // of the pending RequestData call
+  bool keep_alive_ = false;                 // the connection is persistent after this response
+  int interim_responses_ = 0;               // 1xx responses before the final one
+  std::uint64_t generation_ = 0;  // increased by Reset; callbacks of an earlier generation are ignored
 };
 
 }  // namespace meadowyard
--- a/src/upstream/connection.cpp
+++ b/src/upstream/connection.cpp
@@ -16,9 +16,10 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr double kIdleShare = 1.0 / 3;  // part of the hosts' idle limit after which a connection is closed
-constexpr Millis kStreamPause = 10000;  // longest time without any byte, of a body that is passed on
-constexpr Millis kNoEnd = std::numeric_limits<Millis>::infinity();
+// An idle connection is closed after this part of the hosts' idle timeout, before the host closes it.
+constexpr double kIdleTimeoutFraction = 1.0 / 3;
+constexpr Millis kMaxStreamStallMs = 10000;  // longest time without any byte of a streamed body
+constexpr Millis kNoDeadline = std::numeric_limits<Millis>::infinity();
 
 }  // namespace
 
@@ -29,23 +30,23 @@
       socket_(pool.io_),
       timer_(pool.io_),
       writer_(socket_,
-              {[this] { return shared_from_this(); }, [this] { Written(); },
+              {[this] { return shared_from_this(); }, [this] { OnRequestWritten(); },
                [this] { End(AttemptResult::kConnectFailed); }, [this] { End(AttemptResult::kNotSent); },
-               [this] { Arm(core::Now() + kStreamPause); }, [this] { Disarm(); }}),
+               [this] { ArmTimer(core::Now() + kMaxStreamStallMs); }, [this] { DisarmTimer(); }}),
       reader_(socket_,
               {[this] { return shared_from_this(); },
-               [this](AttemptResult result, core::ResponseMessage reply, bool keep_alive) {
+               [this](AttemptResult result, core::ResponseMessage response, bool keep_alive) {
                  Release(keep_alive);
-                 Finish(result, std::move(reply));
+                 FinishJob(result, std::move(response));
                },
-               [this](core::ResponseMessage reply, std::shared_ptr<core::BodySource> rest) {
-                 job_->on_response_started(std::move(reply), std::move(rest));
+               [this](core::ResponseMessage response, std::shared_ptr<core::BodySource> remainder) {
+                 job_->on_response_started(std::move(response), std::move(remainder));
                },
                [this](bool keep_alive) {
                  Release(keep_alive);
-                 Finish(AttemptResult::kServed, {});
+                 FinishJob(AttemptResult::kServed, {});
                },
-               [this](bool waiting) { waiting ? Arm(core::Now() + kStreamPause) : Disarm(); },
+               [this](bool waiting) { waiting ? ArmTimer(core::Now() + kMaxStreamStallMs) : DisarmTimer(); },
                [this] { End(AttemptResult::kCancelled); }, [this](AttemptResult result) { End(result); }}) {}
 
 bool HostPool::Connection::Open() {
@@ -66,32 +67,34 @@
   socket_.non_blocking(true, ec);
   ++pool_.connections_;
   open_ = true;
-  return !ec && Fresh();
+  return !ec && IsReusable();
 }
 
-bool HostPool::Connection::Pass() { return Fresh() && pool_.pass_(host_, address_, socket_.native_handle()); }
+bool HostPool::Connection::Pass() {
+  return IsReusable() && pool_.pass_(host_, address_, socket_.native_handle());
+}
 
 void HostPool::Connection::Dial(Job job) {
-  Take(std::move(job));
-  Arm(std::min(job_->deadline, core::Now() + pool_.limits_.dial_timeout));
+  StartJob(std::move(job));
+  ArmTimer(std::min(job_->deadline, core::Now() + pool_.limits_.dial_timeout));
   socket_.async_connect(address_, [this, self = shared_from_this()](error_code ec) {
-    if (open_) Dialled(ec);
+    if (open_) OnConnected(ec);
   });
 }
 
 void HostPool::Connection::Run(Job job) {
-  Take(std::move(job));
-  Arm(job_->deadline);
+  StartJob(std::move(job));
+  ArmTimer(job_->deadline);
   Write();
 }
 
 void HostPool::Connection::Resume() {
-  if (open_ && job_) Dialled({});
+  if (open_ && job_) OnConnected({});
 }
 
-bool HostPool::Connection::Fresh() {
+bool HostPool::Connection::IsReusable() {
   char byte = 0;
-  return open_ && !reader_.Unasked() &&
+  return open_ && !reader_.HasUnrequestedBytes() &&
          ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 &&
          (errno == EAGAIN || errno == EWOULDBLOCK);
 }
@@ -100,7 +103,7 @@
   Close();
   writer_.Reset();
   reader_.Reset();
-  Finish(result, {});
+  FinishJob(result, {});
 }
 
 void HostPool::Connection::Close() {
@@ -111,87 +114,92 @@
   timer_.cancel();
 }
 
-void HostPool::Connection::Idle() {
+void HostPool::Connection::EnterIdle() {
   if (pool_.pass_ && Pass()) return Close();
   writer_.Reset();
-  reader_.Rest();
-  rested_at_ = core::Now();
-  Arm(rested_at_ + pool_.limits_.idle_timeout * kIdleShare);
-  // No peek, though that would save a call to epoll: an edge that a pending peek has used up is lost to the
-  // read that follows it, and a reset would go unnoticed.
-  socket_.async_wait(tcp::socket::wait_read, [this, self = shared_from_this(), turn = ++turn_](error_code) {
-    if (!open_ || turn_ != turn) return;
-    pool_.Forget(host_, this);
-    Close();
-  });
+  reader_.ReleaseBuffers();
+  idle_since_ = core::Now();
+  ArmTimer(idle_since_ + pool_.limits_.idle_timeout * kIdleTimeoutFraction);
+  // A wait and not a pending MSG_PEEK, which would save an epoll call: the peek would consume the
+  // edge-triggered event, so the next read would not be woken and a reset would go unnoticed.
+  socket_.async_wait(tcp::socket::wait_read,
+                     [this, self = shared_from_this(), generation = ++idle_wait_generation_](error_code) {
+                       if (!open_ || idle_wait_generation_ != generation) return;
+                       pool_.RemoveIdle(host_, this);
+                       Close();
+                     });
   pool_.hosts_[host_].idle.push_back(shared_from_this());
 }
 
-void HostPool::Connection::Take(Job job) {
+void HostPool::Connection::StartJob(Job job) {
   job_ = std::move(job);
-  ++turn_;  // the wait of an idle connection means nothing any more
+  ++idle_wait_generation_;  // invalidates the pending wait of the idle state
   pool_.active_[job_->attempt] = shared_from_this();
 }
 
-void HostPool::Connection::Finish(AttemptResult result, core::ResponseMessage reply) {
+void HostPool::Connection::FinishJob(AttemptResult result, core::ResponseMessage response) {
   if (!job_) return;
   const Job job = *std::exchange(job_, std::nullopt);
   pool_.active_.erase(job.attempt);
-  job.on_finished(result, std::move(reply));
+  job.on_finished(result, std::move(response));
 }
 
-// Most jobs end long before they are due: a timer that waits for less long than the new time is left alone,
-// and set again when it fires.
-void HostPool::Connection::Arm(Millis until) {
-  due_ = until;
-  if (waits_ > 0 && waits_ <= until) return;
-  waits_ = until;
-  timer_.expires_after(core::ToDuration(until - core::Now()));
+// Most jobs end long before their deadline, so a pending timer that expires before the new deadline is kept
+// and rearmed when it expires.
+void HostPool::Connection::ArmTimer(Millis deadline_time) {
+  deadline_ = deadline_time;
+  if (timer_expiry_ > 0 && timer_expiry_ <= deadline_time) return;
+  timer_expiry_ = deadline_time;
+  timer_.expires_after(core::ToDuration(deadline_time - core::Now()));
   timer_.async_wait([this, self = shared_from_this()](error_code ec) {
     if (ec || !open_) return;
-    waits_ = 0;
-    TimeUp();
+    timer_expiry_ = 0;
+    OnTimeout();
   });
 }
 
-void HostPool::Connection::Disarm() { due_ = kNoEnd; }
+void HostPool::Connection::DisarmTimer() { deadline_ = kNoDeadline; }
 
-void HostPool::Connection::TimeUp() {
-  if (due_ == kNoEnd) return;
-  if (core::Now() < due_ - 0.5) return Arm(due_);
+void HostPool::Connection::OnTimeout() {
+  if (deadline_ == kNoDeadline) return;
+  if (core::Now() < deadline_ - 0.5) return ArmTimer(deadline_);
   if (!job_) {
-    pool_.Forget(host_, this);
+    pool_.RemoveIdle(host_, this);
     return Close();
   }
-  if (reader_.streams()) return End(AttemptResult::kReset);
-  End(writer_.WrittenWhole() ? AttemptResult::kTimedOut : AttemptResult::kConnectFailed);
+  if (reader_.is_streaming()) return End(AttemptResult::kReset);
+  End(writer_.IsFullyWritten() ? AttemptResult::kTimedOut : AttemptResult::kConnectFailed);
 }
 
-void HostPool::Connection::Dialled(error_code ec) {
+void HostPool::Connection::OnConnected(error_code ec) {
   if (ec) return End(AttemptResult::kConnectFailed);
-  if (!pool_.handlers_.current()) return pool_.dialled_.push_back(shared_from_this());
-  // The dial took time: the host may have begun to drain, or may have moved, or the client may have left.
+  if (!pool_.handlers_.is_list_current())
+    return pool_.connections_awaiting_list_.push_back(shared_from_this());
+  // During the connect the host may have started to drain or changed its address, or the client may have
+  // disconnected.
   if (!pool_.MayUse(host_, address_) || !job_->still_wanted()) return End(AttemptResult::kNotSent);
-  Arm(job_->deadline);
+  ArmTimer(job_->deadline);
   Write();
 }
 
 void HostPool::Connection::Write() {
-  const auto call = std::exchange(job_->message, nullptr);
-  writer_.Write(*call, job_->body_source, job_->body_source ? job_->patience : job_->deadline - core::Now());
+  const auto request = std::exchange(job_->message, nullptr);
+  writer_.Write(*request, job_->body_source,
+                job_->body_source ? job_->response_timeout : job_->deadline - core::Now());
 }
 
-void HostPool::Connection::Written() {
-  if (job_->body_source) Arm(job_->deadline = core::Now() + job_->patience);
+void HostPool::Connection::OnRequestWritten() {
+  if (job_->body_source) ArmTimer(job_->deadline = core::Now() + job_->response_timeout);
   job_->body_source.reset();
   job_->on_written();
   reader_.Read();
 }
 
 void HostPool::Connection::Release(bool keep_alive) {
-  // Whether the host has said more, or has closed, is asked of the socket when it is used again.
-  const bool reusable = keep_alive && open_ && !reader_.Unasked() && pool_.MayUse(host_, address_);
-  reusable ? Idle() : Close();
+  // Whether the host has sent more bytes or closed is checked on the socket before the next use.
+  const bool reusable =
+      keep_alive && open_ && !reader_.HasUnrequestedBytes() && pool_.MayUse(host_, address_);
+  reusable ? EnterIdle() : Close();
 }
 
 }  // namespace meadowyard
--- a/src/upstream/connection.hpp
+++ b/src/upstream/connection.hpp
@@ -1,5 +1,6 @@
-// A connection to a host, from its dial to its close. Between requests nothing is read: whatever can be read
-// then, a close or bytes that no request asked for, ends the connection.
+/// @file
+/// One persistent connection to a host, from connect to close. While it is idle no data is expected: if the
+/// socket becomes readable, by a close or by bytes that belong to no request, the connection is closed.
 #ifndef MEADOWYARD_UPSTREAM_CONNECTION_HPP_
 #define MEADOWYARD_UPSTREAM_CONNECTION_HPP_
 
@@ -15,44 +16,51 @@
 
 namespace meadowyard {
 
+/// Carries one request at a time. Kept alive by the pool and by its pending operations.
 class HostPool::Connection : public std::enable_shared_from_this<Connection> {
  public:
+  /// An attempt that this connection carries.
   struct Job : core::AttemptRequest {
     std::uint64_t attempt = 0;
-    Millis patience = 0;  // from when the request is whole, where its body is still coming
+    Millis response_timeout = 0;  // for a body that is still arriving: counts from its completion
   };
 
   Connection(HostPool& pool, std::string host, boost::asio::ip::tcp::endpoint address);
 
-  // False if no descriptor is to be had.
+  /// Opens the socket; false if no file descriptor is available.
   bool Open();
-  // The same with a socket that is connected already.
+  /// Takes ownership of a socket that is already connected; false if it can't be used.
   bool Assign(int fd);
+  /// Offers the socket of an idle connection to the pool's pass callback; true if the callback took it.
   bool Pass();
+  /// Connects to the host, then sends the request.
   void Dial(Job job);
+  /// Sends the request on a connection that is already open.
   void Run(Job job);
-  // The list is current: goes on from where the dial came up.
+  /// Continues after the connect, once the host list is current again.
   void Resume();
-  // Whether the host has neither closed an idle connection nor sent anything on it. The pending wait may not
-  // have been told yet, so the socket itself is asked.
-  bool Fresh();
-  bool SentWhole() const { return writer_.WrittenWhole(); }
-  Millis rested_at() const { return rested_at_; }
-  // Ends the job, if there is one, and the connection with it.
+  /// Whether the host has neither closed the idle connection nor sent anything on it. Checks the socket
+  /// directly, as the event loop may not have run the pending wait's callback yet.
+  bool IsReusable();
+  bool IsRequestWritten() const { return writer_.IsFullyWritten(); }
+  Millis idle_since() const { return idle_since_; }
+  /// Ends the job, if there is one, with `result`, and closes the connection.
   void End(AttemptResult result);
   void Close();
-  void Idle();
+  /// Passes the connection on if the pool does so, otherwise adds it to the idle connections of its host.
+  void EnterIdle();
 
  private:
-  void Take(Job job);
-  void Finish(AttemptResult result, core::ResponseMessage reply);
-  void Arm(Millis until);
-  void Disarm();
-  void TimeUp();
-  void Dialled(boost::system::error_code ec);
+  void StartJob(Job job);
+  void FinishJob(AttemptResult result, core::ResponseMessage response);
+  void ArmTimer(Millis deadline_time);
+  void DisarmTimer();
+  void OnTimeout();
+  void OnConnected(boost::system::error_code ec);
   void Write();
-  void Written();
-  // Back to the pool before the outcome is told, for it may lead to the next send.
+  void OnRequestWritten();
+  // Returns the connection to the pool, or closes it. Called before the result is reported, because the
+  // callback may start the next attempt, which can reuse the connection.
   void Release(bool keep_alive);
 
   HostPool& pool_;
@@ -61,11 +69,12 @@
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer timer_;
   RequestWriter writer_;
-  AnswerReader reader_;
-  Millis due_ = 0;    // when the job, or the rest, must have ended
-  Millis waits_ = 0;  // until when the timer waits; 0: it does not
-  Millis rested_at_ = 0;
-  std::uint64_t turn_ = 0;
+  ResponseReader reader_;
+  Millis deadline_ = 0;      // end of the job or of the idle period; kNoDeadline: none
+  Millis timer_expiry_ = 0;  // when the pending timer expires; 0: none is pending
+  Millis idle_since_ = 0;
+  // Increased by each idle period and each job; an earlier wait for readability is ignored.
+  std::uint64_t idle_wait_generation_ = 0;
   std::optional<Job> job_;
   bool open_ = false;
 };
--- a/src/upstream/host_pool.cpp
+++ b/src/upstream/host_pool.cpp
@@ -45,53 +45,54 @@
   std::erase_if(hosts_, [](const auto& entry) { return !entry.second.up; });
 }
 
-std::uint64_t HostPool::Start(const std::string& host, core::AttemptRequest errand) {
+std::uint64_t HostPool::Start(const std::string& host, core::AttemptRequest request) {
   const std::uint64_t attempt = next_attempt_++;
-  if (handlers_.current()) {
-    Begin(attempt, host, std::move(errand));
+  if (handlers_.is_list_current()) {
+    StartAttempt(attempt, host, std::move(request));
   } else {
-    waiting_.emplace(attempt, Waiting{host, std::move(errand)});
+    queued_attempts_.emplace(attempt, QueuedAttempt{host, std::move(request)});
   }
   return attempt;
 }
 
 void HostPool::Resume() {
-  while (!waiting_.empty()) {  // whoever is told of one may end another
-    auto next = waiting_.extract(waiting_.begin());
-    auto& [host, errand] = next.mapped();
-    if (handlers_.may_use(host) && errand.still_wanted()) {
-      Begin(next.key(), host, std::move(errand));
+  while (!queued_attempts_.empty()) {  // a callback may cancel other queued attempts
+    auto next = queued_attempts_.extract(queued_attempts_.begin());
+    auto& [host, request] = next.mapped();
+    if (handlers_.may_use(host) && request.still_wanted()) {
+      StartAttempt(next.key(), host, std::move(request));
     } else {
-      errand.on_finished(AttemptResult::kNotSent, {});
+      request.on_finished(AttemptResult::kNotSent, {});
     }
   }
-  for (const auto& connection : std::exchange(dialled_, {})) connection->Resume();
+  for (const auto& connection : std::exchange(connections_awaiting_list_, {})) connection->Resume();
 }
 
-bool HostPool::EndWaiting(std::uint64_t attempt, AttemptResult result) {
-  const auto waiting = waiting_.extract(attempt);
-  if (waiting.empty()) return false;
-  waiting.mapped().errand.on_finished(result, {});
+bool HostPool::EndQueued(std::uint64_t attempt, AttemptResult result) {
+  const auto queued = queued_attempts_.extract(attempt);
+  if (queued.empty()) return false;
+  queued.mapped().request.on_finished(result, {});
   return true;
 }
 
-void HostPool::Begin(std::uint64_t attempt, const std::string& host, core::AttemptRequest errand) {
+void HostPool::StartAttempt(std::uint64_t attempt, const std::string& host, core::AttemptRequest request) {
   const auto found = hosts_.find(host);
-  if (found == hosts_.end() || core::Now() >= errand.deadline) {
-    errand.on_finished(AttemptResult::kNotSent, {});
+  if (found == hosts_.end() || core::Now() >= request.deadline) {
+    request.on_finished(AttemptResult::kNotSent, {});
     return;
   }
-  const Millis patience = errand.deadline - core::Now();
-  Connection::Job job{std::move(errand), attempt, patience};
+  const Millis response_timeout = request.deadline - core::Now();
+  Connection::Job job{std::move(request), attempt, response_timeout};
   auto& idle = found->second.idle;
-  // The most recently used of those that have rested for long enough: they are in that order.
-  const Millis rested = core::Now() - limits_.min_idle_before_reuse;
-  auto end = std::find_if(idle.begin(), idle.end(), [&](const auto& c) { return c->rested_at() > rested; });
+  // The most recently used connection that has been idle for long enough; the list is ordered by last use.
+  const Millis idle_before = core::Now() - limits_.min_idle_before_reuse;
+  auto end =
+      std::find_if(idle.begin(), idle.end(), [&](const auto& c) { return c->idle_since() > idle_before; });
   while (end != idle.begin()) {
     end = std::prev(end);
     const auto connection = std::move(*end);
     end = idle.erase(end);
-    if (connection->Fresh()) {
+    if (connection->IsReusable()) {
       connection->Run(std::move(job));
       return;
     }
@@ -102,7 +103,8 @@
     return;
   }
   const auto connection = std::make_shared<Connection>(*this, host, found->second.address);
-  // Other processes of the machine, or clients, may have taken the descriptors that were reckoned with.
+  // Other processes on the machine, or client connections, may have used up the file descriptors that the
+  // connection limit was computed from.
   if (connection->Open() || (EvictIdle() && connection->Open())) {
     connection->Dial(std::move(job));
   } else {
@@ -112,17 +114,17 @@
 }
 
 void HostPool::Cancel(std::uint64_t attempt) {
-  if (EndWaiting(attempt, AttemptResult::kCancelled)) return;
+  if (EndQueued(attempt, AttemptResult::kCancelled)) return;
   const auto found = active_.find(attempt);
   if (found == active_.end()) return;
-  const auto connection = found->second;  // End takes it out of the map
+  const auto connection = found->second;  // End removes it from the map
   connection->End(AttemptResult::kCancelled);
 }
 
 void HostPool::CancelIfUnsent(std::uint64_t attempt) {
-  if (EndWaiting(attempt, AttemptResult::kNotSent)) return;
+  if (EndQueued(attempt, AttemptResult::kNotSent)) return;
   const auto found = active_.find(attempt);
-  if (found == active_.end() || found->second->SentWhole()) return;
+  if (found == active_.end() || found->second->IsRequestWritten()) return;
   const auto connection = found->second;
   connection->End(AttemptResult::kNotSent);
 }
@@ -146,7 +148,7 @@
   }
   const auto connection = std::make_shared<Connection>(*this, host, address);
   if (connection->Assign(fd)) {
-    connection->Idle();
+    connection->EnterIdle();
   } else {
     connection->Close();
   }
@@ -156,12 +158,13 @@
   for (const auto& connection : std::exchange(host.idle, {})) connection->Close();
 }
 
-// Makes room by closing the connection that has been idle for longest. Each host's are in that order.
+// Frees a descriptor by closing the connection that has been idle longest. Each host's list is in that order,
+// so only the first of each is compared.
 bool HostPool::EvictIdle() {
   HostState* oldest = nullptr;
   for (auto& [id, host] : hosts_) {
     if (host.idle.empty()) continue;
-    if (oldest == nullptr || host.idle.front()->rested_at() < oldest->idle.front()->rested_at())
+    if (oldest == nullptr || host.idle.front()->idle_since() < oldest->idle.front()->idle_since())
       oldest = &host;
   }
   if (oldest == nullptr) return false;
@@ -175,7 +178,7 @@
   return found != hosts_.end() && found->second.address == address && handlers_.may_use(host);
 }
 
-void HostPool::Forget(const std::string& host, const Connection* connection) {
+void HostPool::RemoveIdle(const std::string& host, const Connection* connection) {
   const auto found = hosts_.find(host);
   if (found == hosts_.end()) return;
   std::erase_if(found->second.idle, [&](const auto& other) { return other.get() == connection; });
--- a/src/upstream/host_pool.hpp
+++ b/src/upstream/host_pool.hpp
@@ -1,4 +1,6 @@
-// Connections to hosts: one request on each at a time, the most recently used first.
+/// @file
+/// Pool of persistent HTTP/1.1 connections to hosts: one request at a time on each, without pipelining; the
+/// most recently used idle connection is reused first.
 #ifndef MEADOWYARD_HOST_POOL_HPP_
 #define MEADOWYARD_HOST_POOL_HPP_
 
@@ -19,48 +21,51 @@
 
 namespace meadowyard {
 
+/// Sends attempts to hosts over pooled connections. Not thread-safe: used on the thread that runs `io`.
 class HostPool : public core::Upstream {
  public:
   struct Limits {
     Millis dial_timeout = 250;
-    Millis idle_timeout = 15000;    // hosts close connections that stood idle for this long
+    Millis idle_timeout = 15000;    // hosts close connections that were idle for this long
     std::size_t connections = 256;  // over all hosts
-    // A host may answer a request a second time, some milliseconds later: on a connection that had gone on to
-    // the next request by then, nothing would tell the one from the other. So it rests for this long first.
+    // A host may send a second response to a request some milliseconds after the first. If the connection
+    // carried the next request by then, that response would be taken for the response to the next request.
+    // So a connection stays idle for this long before it is reused.
     Millis min_idle_before_reuse = 20;
   };
   struct Handlers {
-    std::function<bool(const std::string& host)> may_use;  // asked again once a dial has taken its time
-    // Whether the list of hosts is current; while it isn't nothing is sent, until Resume.
-    std::function<bool()> current = [] { return true; };
+    std::function<bool(const std::string& host)> may_use;  // checked again after a connect
+    // Whether the list of hosts is up to date. While it is not, attempts are queued until Resume.
+    std::function<bool()> is_list_current = [] { return true; };
   };
   HostPool(boost::asio::io_context& io, Limits limits, Handlers handlers);
 
-  // Takes effect at once: a host that drains or is gone is sent nothing more, not even on a connection that
-  // is being dialled.
+  /// Applies a host list at once: a host that drains or is removed is sent nothing more, not even on a
+  /// connection whose connect is in progress.
   void Update(const discovery::EndpointList& list);
-  // Closes the idle connections to a host that is left alone for a while.
+  /// Closes the idle connections to a host that is to get no requests for a while.
   void CloseIdleConnections(const std::string& host);
-  // Hosts' time-outs as the settings have them now.
+  /// Applies changed timeouts of the configuration.
   void SetTimes(Millis dial_timeout, Millis idle_timeout);
 
-  // Sends the request unless the host is not to be used any more. Returns a number for Cancel.
-  std::uint64_t Start(const std::string& host, core::AttemptRequest errand) override;
-  // Ends an attempt that is still out, with kCancelled. Its connection is closed.
+  std::uint64_t Start(const std::string& host, core::AttemptRequest request) override;
+  /// Also closes the connection of the attempt.
   void Cancel(std::uint64_t attempt) override;
   void CancelIfUnsent(std::uint64_t attempt) override;
-  // Sends what waited for the list.
+  /// Sends the attempts that were queued while the host list was out of date.
   void Resume();
 
-  // Idle connections, those that are now and those that will be, go to `pass` instead of back to the pool;
-  // what it doesn't take is kept. Null: they are kept again.
+  /// Passes an idle connection to another process; false if it was not taken.
   using Pass =
       std::function<bool(const std::string& host, const boost::asio::ip::tcp::endpoint& address, int fd)>;
+  /// Offers all idle connections, and each that becomes idle from now on, to `pass`; the pool keeps those
+  /// that it does not take. Null: stops this.
   void PassIdle(Pass pass);
-  // Takes a connection that another process passed on, if it is of use.
+  /// Takes ownership of a connection that another process passed on; closes it if it can't be used.
   void Adopt(const std::string& host, const boost::asio::ip::tcp::endpoint& address, int fd);
   void SetMaxConnections(std::size_t connections) { limits_.connections = connections; }
 
+  /// Open connections, idle or in use, over all hosts.
   std::size_t connections() const { return connections_; }
 
  private:
@@ -68,29 +73,30 @@
   struct HostState {
     boost::asio::ip::tcp::endpoint address;
     bool up = false;
-    std::vector<std::shared_ptr<Connection>> idle;  // the most recently used last
+    std::vector<std::shared_ptr<Connection>> idle;  // ordered by last use, the most recent last
   };
 
-  struct Waiting {
+  struct QueuedAttempt {
     std::string host;
-    core::AttemptRequest errand;
+    core::AttemptRequest request;
   };
-  void Begin(std::uint64_t attempt, const std::string& host, core::AttemptRequest errand);
-  bool EndWaiting(std::uint64_t attempt, AttemptResult result);
+  void StartAttempt(std::uint64_t attempt, const std::string& host, core::AttemptRequest request);
+  bool EndQueued(std::uint64_t attempt, AttemptResult result);
   void CloseIdle(HostState& host);
   bool EvictIdle();
   bool MayUse(const std::string& host, const boost::asio::ip::tcp::endpoint& address) const;
-  void Forget(const std::string& host, const Connection* connection);
+  void RemoveIdle(const std::string& host, const Connection* connection);
 
   boost::asio::io_context& io_;
   Limits limits_;
   const Handlers handlers_;
   Pass pass_;
   std::map<std::string, HostState> hosts_;
-  std::unordered_map<std::uint64_t, std::shared_ptr<Connection>> active_;  // by attempt
-  // What waits for the list: attempts not begun, and connections that have come up.
-  std::map<std::uint64_t, Waiting> waiting_;
-  std::vector<std::shared_ptr<Connection>> dialled_;
+  std::unordered_map<std::uint64_t, std::shared_ptr<Connection>> active_;  // by attempt id
+  // Held until the host list is current: attempts that were not started, and connections that were
+  // established in the meantime.
+  std::map<std::uint64_t, QueuedAttempt> queued_attempts_;
+  std::vector<std::shared_ptr<Connection>> connections_awaiting_list_;
   std::size_t connections_ = 0;
   std::uint64_t next_attempt_ = 1;
 };
--- a/src/upstream/parent_handshake.cpp
+++ b/src/upstream/parent_handshake.cpp
@@ -5,11 +5,11 @@
 namespace meadowyard {
 namespace {
 
-constexpr std::size_t kMostHead = 8192;
+constexpr std::size_t kMaxResponseHeadBytes = 8192;
 
-// What a SOCKS5 reply says of an attempt (RFC 1928, section 6): 3 to 6 speak of the host, the rest of the
-// parent.
-AttemptResult Meaning(unsigned char reply) {
+// Maps a SOCKS5 reply code (RFC 1928, section 6): 3 to 6 are failures to reach the host, all others are
+// rejections or failures of the parent.
+AttemptResult ToAttemptResult(unsigned char reply) {
   if (reply == 0) return AttemptResult::kServed;
   return reply >= 3 && reply <= 6 ? AttemptResult::kConnectFailed : AttemptResult::kRejected;
 }
@@ -37,7 +37,7 @@
     output_ = parent_.user.empty() ? std::string("\x05\x01\x00", 3) : std::string("\x05\x01\x02", 3);
     return;
   }
-  stage_ = Stage::kHead;
+  stage_ = Stage::kConnectResponse;
   const std::string authority = discovery::FormatAddress(target_);
   output_ = "CONNECT " + authority + " HTTP/1.1\r\nHost: " + authority + "\r\n";
   if (!parent_.user.empty()) {
@@ -47,11 +47,11 @@
 }
 
 std::optional<AttemptResult> ParentHandshake::Feed(std::string& in) {
-  return stage_ == Stage::kHead ? FeedHead(in) : FeedSocks(in);
+  return stage_ == Stage::kConnectResponse ? FeedConnectResponse(in) : FeedSocks(in);
 }
 
-void ParentHandshake::AskSocks() {
-  stage_ = Stage::kReply;
+void ParentHandshake::WriteSocksRequest() {
+  stage_ = Stage::kSocksReply;
   output_ = std::string("\x05\x01\x00", 3);
   const auto append = [this](const auto& bytes) { output_.append(bytes.begin(), bytes.end()); };
   if (target_.address().is_v4()) {
@@ -67,52 +67,53 @@
 
 std::optional<AttemptResult> ParentHandshake::FeedSocks(std::string& in) {
   const auto byte = [&](std::size_t i) { return static_cast<unsigned char>(in[i]); };
-  if (stage_ == Stage::kMethod) {
+  if (stage_ == Stage::kSocksMethod) {
     if (in.size() < 2) return std::nullopt;
-    const unsigned char wanted = parent_.user.empty() ? 0 : 2;
+    const unsigned char expected_method = parent_.user.empty() ? 0 : 2;
     if (byte(0) != 5) return AttemptResult::kConnectFailed;
-    if (byte(1) != wanted) return AttemptResult::kRejected;
+    if (byte(1) != expected_method) return AttemptResult::kRejected;
     in.erase(0, 2);
-    if (wanted == 0) {
-      AskSocks();
+    if (expected_method == 0) {
+      WriteSocksRequest();
     } else {
-      stage_ = Stage::kPassword;
+      stage_ = Stage::kSocksPassword;
       output_ = std::string("\x01", 1) + static_cast<char>(parent_.user.size()) + parent_.user +
                 static_cast<char>(parent_.password.size()) + parent_.password;
     }
     return std::nullopt;
   }
-  if (stage_ == Stage::kPassword) {
+  if (stage_ == Stage::kSocksPassword) {
     if (in.size() < 2) return std::nullopt;
     if (byte(1) != 0) return AttemptResult::kRejected;
     in.erase(0, 2);
-    AskSocks();
+    WriteSocksRequest();
     return std::nullopt;
   }
   if (in.size() < 5) return std::nullopt;
   if (byte(0) != 5) return AttemptResult::kConnectFailed;
   const std::size_t address = byte(3) == 1 ? 4 : byte(3) == 4 ? 16 : byte(3) == 3 ? 1u + byte(4) : 0;
   if (address == 0) return AttemptResult::kConnectFailed;
-  const AttemptResult meaning = Meaning(byte(1));
-  if (meaning != AttemptResult::kServed) return meaning;
+  const AttemptResult result = ToAttemptResult(byte(1));
+  if (result != AttemptResult::kServed) return result;
   if (in.size() < 4 + address + 2) return std::nullopt;
   in.erase(0, 4 + address + 2);
-  return meaning;
+  return result;
 }
 
-// Any 2xx opens the way, and no body follows it (RFC 9110, section 9.3.6).
-std::optional<AttemptResult> ParentHandshake::FeedHead(std::string& in) {
+// Any 2xx opens the tunnel and has no body (RFC 9110, section 9.3.6).
+std::optional<AttemptResult> ParentHandshake::FeedConnectResponse(std::string& in) {
   const std::size_t end = in.find("\r\n\r\n");
   if (end == std::string::npos) {
-    const bool other = in.size() >= 5 && !in.starts_with("HTTP/");
-    return other || in.size() > kMostHead ? std::optional(AttemptResult::kConnectFailed) : std::nullopt;
+    const bool is_not_http = in.size() >= 5 && !in.starts_with("HTTP/");
+    return is_not_http || in.size() > kMaxResponseHeadBytes ? std::optional(AttemptResult::kConnectFailed)
+                                                            : std::nullopt;
   }
   if (!in.starts_with("HTTP/1.") || in.size() < 12 || in[8] != ' ') return AttemptResult::kConnectFailed;
   const std::string status = in.substr(9, 3);
   in.erase(0, end + 4);
   if (status[0] == '2') return AttemptResult::kServed;
-  const bool of_host = status == "502" || status == "504";
-  return of_host ? AttemptResult::kConnectFailed : AttemptResult::kRejected;
+  const bool is_host_unreachable = status == "502" || status == "504";
+  return is_host_unreachable ? AttemptResult::kConnectFailed : AttemptResult::kRejected;
 }
 
 }  // namespace meadowyard
--- a/src/upstream/parent_handshake.hpp
+++ b/src/upstream/parent_handshake.hpp
@@ -1,5 +1,6 @@
-// The client's side of a parent proxy's handshake, without I/O: SOCKS5 (RFC 1928, RFC 1929) or CONNECT (RFC
-// 9110, section 9.3.6; Basic credentials, RFC 7617).
+/// @file
+/// The client side of the handshake with a parent proxy, without I/O: SOCKS5 (RFC 1928, RFC 1929) or HTTP
+/// CONNECT (RFC 9110, section 9.3.6; Basic credentials, RFC 7617).
 #ifndef MEADOWYARD_UPSTREAM_PARENT_HANDSHAKE_HPP_
 #define MEADOWYARD_UPSTREAM_PARENT_HANDSHAKE_HPP_
 
@@ -11,36 +12,39 @@
 
 namespace meadowyard {
 
+/// Address and credentials of a parent proxy.
 struct ParentAccess {
-  bool socks = true;  // else CONNECT
+  bool socks = true;  // false: HTTP CONNECT
   boost::asio::ip::tcp::endpoint address;
-  std::string user, password;
+  std::string user, password;  // empty user: no authentication
 };
 
+/// State of one handshake. The caller writes the output and feeds the bytes that it reads.
 class ParentHandshake {
  public:
   ParentHandshake(const ParentAccess& parent, const boost::asio::ip::tcp::endpoint& target);
 
-  // What is to be written now; empty if an answer is awaited.
+  /// Bytes to write now; empty if the parent's response is awaited.
   std::string TakeOutput() { return std::exchange(output_, {}); }
-  // Takes what the parent wrote off the front of `in`; what stays when it is done came from the host.
-  // kServed: the way is open. kRejected: the parent turned it away. kConnectFailed: the parent could not
-  // reach the host, or speaks something else. None of these ever ran. Nothing: more is awaited.
+  /// Consumes the parent's bytes from the front of `in`; bytes that remain after the handshake are the
+  /// host's. kServed: the tunnel is open. kRejected: the parent rejected it. kConnectFailed: the parent could
+  /// not reach the host, or does not speak the protocol. In neither failure did the host get anything from
+  /// the client. Empty: more input is needed.
   std::optional<AttemptResult> Feed(std::string& in);
 
  private:
-  enum class Stage { kMethod, kPassword, kReply, kHead };
-  void AskSocks();
+  enum class Stage { kSocksMethod, kSocksPassword, kSocksReply, kConnectResponse };
+  void WriteSocksRequest();
   std::optional<AttemptResult> FeedSocks(std::string& in);
-  std::optional<AttemptResult> FeedHead(std::string& in);
+  std::optional<AttemptResult> FeedConnectResponse(std::string& in);
 
   const ParentAccess parent_;
   const boost::asio::ip::tcp::endpoint target_;
-  Stage stage_ = Stage::kMethod;
+  Stage stage_ = Stage::kSocksMethod;
   std::string output_;
 };
 
-// RFC 4648, section 4.
+/// Encodes with padding (RFC 4648, section 4).
 std::string ToBase64(std::string_view bytes);
 
 }  // namespace meadowyard
--- a/src/upstream/request_writer.hpp
+++ b/src/upstream/request_writer.hpp
@@ -1,4 +1,5 @@
-// Writes one request to a host in HTTP/1.1, its body as it comes.
+/// @file
+/// Writes an HTTP/1.1 request to a host; a body that is still arriving is written piece by piece.
 #ifndef MEADOWYARD_UPSTREAM_REQUEST_WRITER_HPP_
 #define MEADOWYARD_UPSTREAM_REQUEST_WRITER_HPP_
 
@@ -12,37 +13,41 @@
 
 namespace meadowyard {
 
+/// Writes one request at a time to a socket that the caller owns.
 class RequestWriter {
  public:
   struct Handlers {
-    std::function<std::shared_ptr<void>()> owner;  // kept while something is awaited
-    std::function<void()> whole;                   // the kernel has its last byte
-    std::function<void()> failed;                  // its last byte never left: the request never ran
-    std::function<void()> broken;                  // the same, by its client: nothing of the host
-    std::function<void()> awaits_host;             // with a body that is coming: the host must read on
-    std::function<void()> awaits_body;             // its client may take its time
+    std::function<std::shared_ptr<void>()> owner;  // what it returns is kept alive during an operation
+    std::function<void()> on_written;              // the kernel has accepted the last byte
+    std::function<void()> on_write_failed;      // the last byte was not sent, so the request was not executed
+    std::function<void()> on_body_broken;       // the same, but the client's side failed, not the host
+    std::function<void()> on_waiting_for_host;  // body still arriving: the socket's send buffer is full
+    std::function<void()> on_waiting_for_body;  // awaits the client's next piece, without a time limit here
   };
   RequestWriter(boost::asio::ip::tcp::socket& socket, Handlers handlers)
       : socket_(socket), handlers_(std::move(handlers)) {}
 
-  // `patience`: how long the gateway will wait, which the host is told.
-  void Write(const core::RequestMessage& call, std::shared_ptr<core::BodySource> rest, Millis patience);
-  bool WrittenWhole() const { return whole_ && !text_.empty() && written_ == text_.size(); }
-  // Forgets the request; what was awaited means nothing any more.
+  /// `body_source`: remainder of the body; null if complete. `response_timeout`: how long the gateway waits
+  /// for the response, in milliseconds; sent to the host as Req-Deadline.
+  void Write(const core::RequestMessage& request, std::shared_ptr<core::BodySource> body_source,
+             Millis response_timeout);
+  /// Whether the kernel has accepted the complete request.
+  bool IsFullyWritten() const { return has_last_piece_ && !text_.empty() && written_ == text_.size(); }
+  /// Drops the request; callbacks of pending operations are ignored.
   void Reset();
 
  private:
   void WriteMore();
-  void AskOn();
+  void RequestNextPiece();
 
   boost::asio::ip::tcp::socket& socket_;
   const Handlers handlers_;
-  std::shared_ptr<core::BodySource> rest_;
-  std::string text_;         // all of the request, or the latest piece of its body
-  std::size_t written_ = 0;  // bytes of it that the kernel has taken
-  bool whole_ = false;       // no more pieces follow
+  std::shared_ptr<core::BodySource> body_source_;
+  std::string text_;             // the complete request, or the latest piece of its body
+  std::size_t written_ = 0;      // bytes of `text_` that the kernel has accepted
+  bool has_last_piece_ = false;  // `text_` is the last piece of the request
   bool chunked_ = false;
-  std::uint64_t turn_ = 0;
+  std::uint64_t generation_ = 0;  // increased by Reset; callbacks of an earlier generation are ignored
 };
 
 }  // namespace meadowyard
--- a/src/upstream/tunnel_dialer.cpp
+++ b/src/upstream/tunnel_dialer.cpp
@@ -15,46 +15,47 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr std::size_t kMostUnread = 16 * 1024;  // of a parent's handshake and what the host says behind it
+constexpr std::size_t kMaxBufferedInputBytes =
+    16 * 1024;  // handshake of the parent and the host's first bytes after it
 
 }  // namespace
 
-// One attempt, until it ends or its way is open.
+// One attempt, until it fails or the tunnel is open.
 class TunnelDialer::Dial : public std::enable_shared_from_this<Dial> {
  public:
   Dial(TunnelDialer& owner, std::uint64_t number, std::string host, tcp::endpoint target,
-       core::AttemptRequest errand)
+       core::AttemptRequest request)
       : owner_(&owner),
         number_(number),
         host_(std::move(host)),
         target_(target),
-        errand_(std::move(errand)),
+        request_(std::move(request)),
         socket_(owner.io_),
         timer_(owner.io_) {}
 
   void Start() {
     const auto& parent = owner_->parent_;
-    const tcp::endpoint to = parent ? parent->address : target_;
+    const tcp::endpoint first_hop = parent ? parent->address : target_;
     error_code ec;
-    socket_.open(to.protocol(), ec);
+    socket_.open(first_hop.protocol(), ec);
     if (ec) return End(AttemptResult::kNotSent);
-    Arm(owner_->times_.dial);
+    ArmTimer(owner_->times_.dial);
     socket_.async_connect(
-        to, [self = shared_from_this()](error_code connect_ec) { self->Connected(connect_ec); });
+        first_hop, [self = shared_from_this()](error_code connect_ec) { self->OnConnected(connect_ec); });
   }
 
-  // Called without effect once it has ended.
+  // Has no effect once the attempt has ended.
   void End(AttemptResult result) {
     if (std::exchange(ended_, true)) return;
     const auto self = shared_from_this();
     error_code ignored;
     socket_.close(ignored);
     timer_.cancel();
-    Forget();
-    errand_.on_finished(result, {});
+    RemoveFromDialer();
+    request_.on_finished(result, {});
   }
 
-  void Abandon() {
+  void CloseWithoutCallback() {
     ended_ = true;
     error_code ignored;
     socket_.close(ignored);
@@ -62,30 +63,31 @@
   }
 
  private:
-  // Whatever it waits for, the host has had nothing of the client's: it never ran.
-  void Arm(Millis wait) {
-    const Millis left = std::min(wait, errand_.deadline - core::Now());
-    timer_.expires_after(core::ToDuration(left));
-    // One that was due already when it was set anew is told all the same.
-    timer_.async_wait([self = shared_from_this(), turn = ++waits_](error_code ec) {
-      if (!ec && self->waits_ == turn) self->End(AttemptResult::kConnectFailed);
+  // A timeout at any step is a failed connect: the host has received nothing from the client yet.
+  void ArmTimer(Millis timeout) {
+    const Millis remaining = std::min(timeout, request_.deadline - core::Now());
+    timer_.expires_after(core::ToDuration(remaining));
+    // A wait that had already expired when the timer was set again still completes without an error, so the
+    // generation is checked.
+    timer_.async_wait([self = shared_from_this(), generation = ++timer_generation_](error_code ec) {
+      if (!ec && self->timer_generation_ == generation) self->End(AttemptResult::kConnectFailed);
     });
   }
 
-  void Forget() { owner_->dials_.erase(number_); }
+  void RemoveFromDialer() { owner_->dials_.erase(number_); }
 
-  void Connected(error_code ec) {
+  void OnConnected(error_code ec) {
     if (ended_) return;
     if (ec) return End(AttemptResult::kConnectFailed);
     socket_.set_option(tcp::no_delay(true), ec);
     if (!owner_->may_use_(host_)) return End(AttemptResult::kNotSent);
     if (!owner_->parent_) return Open();
     handshake_.emplace(*owner_->parent_, target_);
-    Arm(owner_->times_.parent);
-    Converse();
+    ArmTimer(owner_->times_.parent);
+    ContinueHandshake();
   }
 
-  void Converse() {
+  void ContinueHandshake() {
     output_ = handshake_->TakeOutput();
     if (output_.empty()) return Read();
     asio::async_write(socket_, asio::buffer(output_),
@@ -98,41 +100,43 @@
   void Read() {
     socket_.async_read_some(asio::buffer(piece_), [self = shared_from_this()](error_code ec, std::size_t n) {
       if (self->ended_) return;
-      if (ec || self->input_.size() + n > kMostUnread) return self->End(AttemptResult::kConnectFailed);
+      if (ec || self->input_.size() + n > kMaxBufferedInputBytes)
+        return self->End(AttemptResult::kConnectFailed);
       self->input_.append(self->piece_.data(), n);
-      self->Heard();
+      self->OnBytesRead();
     });
   }
 
-  // A parent may answer two steps in one piece.
-  void Heard() {
+  // The parent may send its responses to two steps in one segment.
+  void OnBytesRead() {
     for (std::size_t before = 0; before != input_.size();) {
       before = input_.size();
       if (const auto result = handshake_->Feed(input_))
         return *result == AttemptResult::kServed ? Open() : End(*result);
     }
-    Converse();
+    ContinueHandshake();
   }
 
   void Open() {
-    if (!owner_->may_use_(host_)) return End(AttemptResult::kNotSent);  // it took time: there may be news
+    // The host list may have changed during the handshake.
+    if (!owner_->may_use_(host_)) return End(AttemptResult::kNotSent);
     const auto self = shared_from_this();
     ended_ = true;
     timer_.cancel();
-    Forget();
+    RemoveFromDialer();
     auto opened = std::make_unique<core::TunnelEndpoint>(
         core::TunnelEndpoint{host_, std::move(socket_), std::move(input_)});
-    errand_.on_tunnel_opened(std::move(opened));
+    request_.on_tunnel_opened(std::move(opened));
   }
 
   TunnelDialer* owner_;
   const std::uint64_t number_;
   const std::string host_;
   const tcp::endpoint target_;
-  core::AttemptRequest errand_;
+  core::AttemptRequest request_;
   tcp::socket socket_;
   asio::steady_timer timer_;
-  std::uint64_t waits_ = 0;  // which wait of the timer is the one that counts
+  std::uint64_t timer_generation_ = 0;  // earlier waits of the timer are ignored
   std::optional<ParentHandshake> handshake_;
   std::string output_, input_;
   std::array<char, 2048> piece_;
@@ -143,7 +147,7 @@
     : io_(io), times_(times), may_use_(std::move(may_use)) {}
 
 TunnelDialer::~TunnelDialer() {
-  for (const auto& [number, dial] : std::exchange(dials_, {})) dial->Abandon();
+  for (const auto& [number, dial] : std::exchange(dials_, {})) dial->CloseWithoutCallback();
 }
 
 void TunnelDialer::Update(const discovery::EndpointList& list) {
@@ -157,14 +161,14 @@
   }
 }
 
-std::uint64_t TunnelDialer::Start(const std::string& host, core::AttemptRequest errand) {
-  const std::uint64_t number = next_++;
+std::uint64_t TunnelDialer::Start(const std::string& host, core::AttemptRequest request) {
+  const std::uint64_t number = next_attempt_++;
   const auto found = hosts_.find(host);
-  if (found == hosts_.end() || !may_use_(host) || core::Now() >= errand.deadline) {
-    errand.on_finished(AttemptResult::kNotSent, {});
+  if (found == hosts_.end() || !may_use_(host) || core::Now() >= request.deadline) {
+    request.on_finished(AttemptResult::kNotSent, {});
     return number;
   }
-  const auto dial = std::make_shared<Dial>(*this, number, host, found->second, std::move(errand));
+  const auto dial = std::make_shared<Dial>(*this, number, host, found->second, std::move(request));
   dials_[number] = dial;
   dial->Start();
   return number;
