--- a/tests/race_test.cpp
+++ b/tests/race_test.cpp
@@ -1,4 +1,6 @@
-// Bad orders of events on real connections, forced each time: what is held back is let go on a condition.
+/// @file
+/// Races between events on real connections. Each order is forced: a peer holds back its event until a
+/// condition is met.
 #include <gtest/gtest.h>
 
 #include "core/clock.hpp"
@@ -10,39 +12,40 @@
 namespace meadowyard::testing {
 namespace {
 
-// Guards what may be repeated against going out again cut short: once a long body has gone to a host piece by
-// piece, only its first piece is here, also when all of it has gone.
-TEST(Races, ALongBodyThatWentWholeIsNotSentAgainWithoutItsEnd) {
+// Guards against retrying a request with a truncated body. The gateway keeps only the first piece of a
+// streamed body, so the request can't be repeated even if the host got all of it before the reset.
+TEST(Races, AStreamedBodyThatWasSentCompletelyIsNotRetriedTruncated) {
   World world(2);
   const std::string body(300000, 'x');
-  std::size_t whole = 0, reset = 0;
+  std::size_t complete_requests = 0, requests_received = 0;
   for (auto& host : world.hosts) {
     host->serve = [&](const Peer::Taken& taken) {
-      whole += taken.http.body().size() == body.size();
-      if (std::exchange(reset, reset + 1) == 0) return taken.on->Reset();
+      complete_requests += taken.http.body().size() == body.size();
+      if (std::exchange(requests_received, requests_received + 1) == 0) return taken.on->Reset();
       taken.Answer(200, "");
     };
   }
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "view", "9000m", body));
   const unsigned status = client->Await().result_int();
-  EXPECT_EQ(status, 503u) << "safe to try again, but not from here";
-  EXPECT_EQ(world.host(0).requests.size() + world.host(1).requests.size(), whole);
-  EXPECT_EQ(whole, 1u);
+  EXPECT_EQ(status, 503u) << "safe to retry for the client, but the gateway no longer has the body";
+  EXPECT_EQ(world.host(0).requests.size() + world.host(1).requests.size(), complete_requests);
+  EXPECT_EQ(complete_requests, 1u);
 }
 
-meadowyard::ClientServer::Handlers Handlers(std::function<void(meadowyard::core::ClientRequest)> taken) {
+meadowyard::ClientServer::Handlers Handlers(std::function<void(meadowyard::core::ClientRequest)> on_request) {
   return {[] { return true; },
           [] { return true; },
           [](const std::string&, Idempotency) { return Policy::Admission::kAccepted; },
-          std::move(taken),
+          std::move(on_request),
           [](const std::string&) {},
           [](const std::string&) {}};
 }
 
-// Guards an answer on its way, and a request that crosses the drain: a connection that was just answered is
-// not closed under both, and what comes on it is served and told of the close.
-TEST(Races, ARequestThatCrossesTheDrainIsServed) {
+// Guards against a drain that closes a persistent connection right after an answer, which could lose that
+// answer and a request that the client has just sent. The request is served, with Connection: close in its
+// answer.
+TEST(Races, ARequestSentWhileTheDrainStartsIsServed) {
   asio::io_context io;
   meadowyard::ClientLimits limits;
   limits.arrives = 60000;
@@ -64,8 +67,9 @@
   EXPECT_TRUE(RunUntil(io, [&] { return done; }));
 }
 
-// And once it has arrived the connection is closed, without a request to wait for.
-TEST(Races, ADrainClosesConnectionsWhoseAnswerHasArrived) {
+// Guards against a drain that waits for a further request on an idle connection: it is closed once the
+// previous answer has arrived at the client.
+TEST(Races, ADrainClosesIdleConnectionsAfterTheirAnswerHasArrived) {
   asio::io_context io;
   meadowyard::ClientServer server(io, {Loopback()}, {}, Handlers([](meadowyard::core::ClientRequest request) {
                                     request.on_answer(meadowyard::core::Answer{});
@@ -80,13 +84,15 @@
   EXPECT_TRUE(RunUntil(io, [&] { return done; }));
 }
 
-// Guards a request that comes in the very turn in which its connection goes to the next process: one of the
-// two reads it, and all of it.
-TEST(Races, ARequestThatComesAsItsConnectionIsHandedOverIsReadByOne) {
+// Guards against losing or splitting a request that arrives in the same event loop iteration in which its
+// connection is handed over to the next process: exactly one of the two processes must read all of it.
+TEST(Races, ARequestArrivingDuringTheHandOverIsReadByExactlyOneProcess) {
   struct Case {
     const char* name;
-    std::size_t before, after;  // bytes that come before the hand-over, and once it is on
-    bool seen, passed;          // the loop has run between them and the hand-over
+    // Bytes of the request that are sent before the hand-over, and after it has started.
+    std::size_t bytes_before, bytes_after;
+    // Whether the event loop runs between these bytes and the hand-over, and whether the socket is passed on.
+    bool is_polled_before, is_handed_over;
   };
   const std::string text = ApiCall("r2");
   const std::size_t all = text.size(), half = all / 2;
@@ -96,93 +102,95 @@
                         Case{"it comes later", 0, all, true, true}}) {
     SCOPED_TRACE(c.name);
     asio::io_context io;
-    int taken = 0;
+    int requests_read = 0;
     meadowyard::ClientServer server(io, {Loopback()}, {},
                                     Handlers([&](meadowyard::core::ClientRequest request) {
-                                      ++taken;
+                                      ++requests_read;
                                       request.on_answer(meadowyard::core::Answer{});
                                     }));
     Client client(io, server.address());
     client.Send(ApiCall("r1"));
     ASSERT_EQ(client.Await(1).result(), http::status::ok);
-    client.Send(text.substr(0, c.before));
-    while (c.seen && io.poll() > 0) {
+    client.Send(text.substr(0, c.bytes_before));
+    while (c.is_polled_before && io.poll() > 0) {
     }
-    std::string passed;
+    std::string received_text;
     tcp::socket next(io);
     server.HandOver([&](int fd, std::string_view unread) {
-      passed = unread;
+      received_text = unread;
       next.assign(tcp::v4(), ::dup(fd));
       return true;
     });
     while (io.poll() > 0) {
     }
-    client.Send(text.substr(c.before, c.after));
-    if (c.passed) {
+    client.Send(text.substr(c.bytes_before, c.bytes_after));
+    if (c.is_handed_over) {
       ASSERT_TRUE(RunUntil(io, [&] { return next.is_open(); }));
       next.non_blocking(true);
       ASSERT_TRUE(RunUntil(io, [&] {
         char piece[4096];
         error_code ec;
         const std::size_t n = next.read_some(asio::buffer(piece), ec);
-        passed.append(piece, n);
-        return passed.size() >= c.before + c.after;
+        received_text.append(piece, n);
+        return received_text.size() >= c.bytes_before + c.bytes_after;
       }));
-      EXPECT_EQ(passed, text.substr(0, c.before + c.after));
-      EXPECT_EQ(taken, 1);
+      EXPECT_EQ(received_text, text.substr(0, c.bytes_before + c.bytes_after));
+      EXPECT_EQ(requests_read, 1);
     } else {
       EXPECT_EQ(client.Await(2).result(), http::status::ok);
-      EXPECT_EQ(taken, 2);
+      EXPECT_EQ(requests_read, 2);
     }
   }
 }
 
-// Guards clients against answers that never end: each gets its one answer in its time, and the connection is
-// of no further use.
-TEST(Races, AnAnswerThatNeverEndsLeavesNobodyWaiting) {
+// Guards against a host response that never ends and keeps the client waiting: the client gets exactly one
+// answer by its timeout, and the connection to the host is closed.
+TEST(Races, AnEndlessResponseGivesTheClientOneAnswerByItsTimeout) {
   struct Case {
     const char* name;
-    std::string begins, goes_on;
+    std::string first_bytes, repeated_bytes;
   };
   for (const Case& c : {Case{"head", "HTTP/1.1 200 OK\r\n", "X-More: and more\r\n"},
                         Case{"interim answers", "", "HTTP/1.1 102 Processing\r\n\r\n"},
                         Case{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", "1\r\nx\r\n"},
                         Case{"body", "HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\n", "x"}}) {
     SCOPED_TRACE(c.name);
-    constexpr Millis kAllowed = 600, kLost = 500;  // later than that beyond its time an answer is none
+    // In ms. An answer that comes later than kMaxAnswerDelay after the timeout counts as missing.
+    constexpr Millis kClientTimeout = 600, kMaxAnswerDelay = 500;
     World world;
     const auto client = world.Connect();
-    client->Send(ApiCall("r1", "pay", std::to_string(static_cast<int>(kAllowed)) + "m"));
+    client->Send(ApiCall("r1", "pay", std::to_string(static_cast<int>(kClientTimeout)) + "m"));
     ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
     const auto on = world.host().requests[0].on;
-    const Millis begun = core::Now();
-    on->Raw(c.begins);
-    Millis said_at = 0;
+    const Millis started_at = core::Now();
+    on->Raw(c.first_bytes);
+    Millis last_sent_at = 0;
     ASSERT_TRUE(world.Until([&] {
-      if (!on->ended && core::Now() - said_at > 10) on->Raw(c.goes_on), said_at = core::Now();
+      if (!on->ended && core::Now() - last_sent_at > 10)
+        on->Raw(c.repeated_bytes), last_sent_at = core::Now();
       return !client->answers().empty();
     }));
-    EXPECT_LE(core::Now() - begun, kAllowed + kLost);
+    EXPECT_LE(core::Now() - started_at, kClientTimeout + kMaxAnswerDelay);
     EXPECT_GE(client->answers()[0].result_int(), 500u);
-    EXPECT_NE(client->answers()[0].result_int(), 503u) << "it may have run";
+    EXPECT_NE(client->answers()[0].result_int(), 503u) << "the request may have been executed";
     EXPECT_TRUE(world.Until([&] { return on->ended; }));
     EXPECT_EQ(world.host().requests.size(), 1u);
     EXPECT_EQ(client->answers().size(), 1u);
   }
 }
 
-// Guards a request whose last byte comes when all that was open has been answered, before the process ends:
-// it gets its answer too, and goes to no host.
-TEST(Races, ARequestThatIsWholeAfterTheLastAnswersIsRefused) {
+// Guards against losing a request whose last byte arrives during the shutdown, after all open requests were
+// answered and before the process ends: it is answered as well, and is sent to no host.
+TEST(Races, ARequestCompletedAfterTheLastAnswerIsRejected) {
   World world;
-  const auto held = world.Connect(), half = world.Connect();
+  const auto pending = world.Connect(), half = world.Connect();
   const std::string text = ApiCall("half", "pay");
   half->Send(text.substr(0, 60));
-  held->Send(ApiCall("held", "pay", "20000m"));
+  pending->Send(ApiCall("held", "pay", "20000m"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   bool done = false;
   world.gateway->Stop([&] { done = true; }, {0, 0, 1});
-  ASSERT_EQ(held->Await().result(), http::status::gateway_timeout);
+  ASSERT_EQ(pending->Await().result(), http::status::gateway_timeout);
   ASSERT_FALSE(done);
   half->Send(text.substr(60));
   EXPECT_EQ(half->Await().result(), http::status::service_unavailable);
@@ -190,27 +198,30 @@
   EXPECT_EQ(world.host().requests.size(), 1u);
 }
 
-// Guards a request against the second answer to the one before it, which comes when the connection has gone
-// on: until that has had its time, another connection is used.
-TEST(Races, AConnectionRestsForASecondAnswerBeforeItGoesOn) {
-  for (const bool rested : {false, true}) {
+// Guards against taking a host's second response to one request for the response to the next request on the
+// same connection: a connection stays idle for some time before its reuse, and until then another one is
+// used.
+TEST(Races, AConnectionIsNotReusedWhileASecondResponseMayArrive) {
+  for (const bool is_idle_long_enough : {false, true}) {
     asio::io_context io;
     Peer host(io);
-    meadowyard::HostPool pool(io, {5000, 60000, 10, rested ? 0.0 : 60000.0},
+    meadowyard::HostPool pool(io, {5000, 60000, 10, is_idle_long_enough ? 0.0 : 60000.0},
                               {[](const std::string&) { return true; }});
     meadowyard::discovery::EndpointList list;
     list.endpoints.push_back({Endpoint(), host.address()});
     list.endpoints[0].endpoint.id = "h0";
     pool.Update(list);
-    std::string last;
+    std::string last_body;
     int ended = 0;
     const auto start = [&] {
-      core::AttemptRequest errand;
-      errand.message =
+      core::AttemptRequest attempt_request;
+      attempt_request.message =
           std::make_shared<const core::RequestMessage>(core::RequestMessage{"GET", "/api", {}, ""});
-      errand.deadline = core::Now() + 20000;
-      errand.on_finished = [&](AttemptResult, core::ResponseMessage reply) { ++ended, last = reply.body; };
-      pool.Start("h0", std::move(errand));
+      attempt_request.deadline = core::Now() + 20000;
+      attempt_request.on_finished = [&](AttemptResult, core::ResponseMessage response) {
+        ++ended, last_body = response.body;
+      };
+      pool.Start("h0", std::move(attempt_request));
     };
     start();
     ASSERT_TRUE(RunUntil(io, [&] { return host.requests.size() == 1; }));
@@ -218,49 +229,51 @@
     ASSERT_TRUE(RunUntil(io, [&] { return ended == 1; }));
     start();
     ASSERT_TRUE(RunUntil(io, [&] { return host.requests.size() == 2; }));
-    EXPECT_EQ(host.connections.size(), rested ? 1u : 2u);
-    if (rested) continue;
-    host.requests[0].Answer(200, "one");  // again
+    EXPECT_EQ(host.connections.size(), is_idle_long_enough ? 1u : 2u);
+    if (is_idle_long_enough) continue;
+    host.requests[0].Answer(200, "one");  // the second response to the first request
     host.requests[1].Answer(200, "two");
     ASSERT_TRUE(RunUntil(io, [&] { return ended == 2; }));
-    EXPECT_EQ(last, "two");
+    EXPECT_EQ(last_body, "two");
   }
 }
 
-// Guards what drops repeats for a while: a further attempt that was decided on in that time, and whose
-// connection came up after it, is not made.
-TEST(Races, ADialThatComesUpAfterTheWindowForRepeatsIsNotWrittenTo) {
-  constexpr Millis kWindow = 500;  // a connection that is turned down once comes up a second later
+// Guards against a retry that the host can no longer recognise as a repeat: the retry is decided within the
+// host's repeat window, but its connection is established only after the window has ended.
+TEST(Races, AConnectionOpenedAfterTheRepeatWindowCarriesNoRetry) {
+  constexpr Millis kRepeatWindow = 500;  // in ms; a SYN dropped by a full backlog is resent after a second
   auto settings = TestSettings();
-  settings["categories"][1]["repeatWindowMs"] = kWindow;
+  settings["categories"][1]["repeatWindowMs"] = kRepeatWindow;
   settings["categories"][1]["group"] = "all";
   settings["limits"]["dialTimeoutMs"] = 20000.0;
   World world(1, settings);
-  tcp::acceptor crowded(world.io, tcp::v4());
-  crowded.bind(Loopback());
-  crowded.listen(0);
-  tcp::socket fill(world.io);
-  fill.connect(crowded.local_endpoint());
+  tcp::acceptor full_acceptor(world.io, tcp::v4());
+  full_acceptor.bind(Loopback());
+  full_acceptor.listen(0);
+  tcp::socket filling_connection(world.io);
+  filling_connection.connect(full_acceptor.local_endpoint());
   const auto client = world.Connect();
   client->Send(ApiCall("k1", "key", "9000m", "", "Idempotency-Key: k\r\n"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  world.Tell(50, {Member("h0", world.host().address()), Member("h1", crowded.local_endpoint())}, true);
+  world.Tell(50, {Member("h0", world.host().address()), Member("h1", full_acceptor.local_endpoint())}, true);
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() >= 2; }));
   const Millis reset_at = core::Now();
   world.host().requests[0].on->Reset();
-  ASSERT_TRUE(world.Until([&] { return core::Now() - reset_at > kWindow; }));
-  ASSERT_TRUE(client->answers().empty()) << "it is to be tried again, and its dial hangs";
-  crowded.accept();  // the filling one: there is room now
-  tcp::socket dialled = crowded.accept();
+  ASSERT_TRUE(world.Until([&] { return core::Now() - reset_at > kRepeatWindow; }));
+  ASSERT_TRUE(client->answers().empty()) << "the retry is pending, and its connect does not complete";
+  full_acceptor.accept();  // the filling connection: frees a place in the backlog
+  tcp::socket late_connection = full_acceptor.accept();
   EXPECT_GE(client->Await().result_int(), 500u);
-  dialled.non_blocking(true);
+  late_connection.non_blocking(true);
   char byte = 0;
   error_code ec;
-  EXPECT_EQ(dialled.read_some(asio::buffer(&byte, 1), ec), 0u) << "it was sent again";
+  EXPECT_EQ(late_connection.read_some(asio::buffer(&byte, 1), ec), 0u)
+      << "the request was sent a second time";
 }
 
-// Guards against a write for a client that left while the host's connection was coming up.
-TEST(Races, ADialThatComesUpForNobodyIsNotWrittenTo) {
+// Guards against sending the request of a client that disconnected while the connect to the host was in
+// progress.
+TEST(Races, AnAttemptCancelledDuringTheConnectIsNotSent) {
   asio::io_context io;
   Peer host(io);
   meadowyard::HostPool pool(io, {}, {[](const std::string&) { return true; }});
@@ -269,21 +282,23 @@
   list.endpoints[0].endpoint.id = "h0";
   pool.Update(list);
   std::vector<AttemptResult> results;
-  std::vector<std::uint64_t> numbers;
+  std::vector<std::uint64_t> attempt_ids;
   const auto start = [&] {
-    core::AttemptRequest errand;
-    errand.message =
+    core::AttemptRequest attempt_request;
+    attempt_request.message =
         std::make_shared<const core::RequestMessage>(core::RequestMessage{"GET", "/api", {}, ""});
-    errand.deadline = core::Now() + 20000;
-    errand.on_finished = [&](AttemptResult result, core::ResponseMessage) { results.push_back(result); };
-    numbers.push_back(pool.Start("h0", std::move(errand)));
+    attempt_request.deadline = core::Now() + 20000;
+    attempt_request.on_finished = [&](AttemptResult result, core::ResponseMessage) {
+      results.push_back(result);
+    };
+    attempt_ids.push_back(pool.Start("h0", std::move(attempt_request)));
   };
   start();
-  pool.CancelIfUnsent(numbers[0]);
+  pool.CancelIfUnsent(attempt_ids[0]);
   EXPECT_EQ(results, std::vector{AttemptResult::kNotSent});
   start();
   ASSERT_TRUE(RunUntil(io, [&] { return host.requests.size() == 1; }));
-  pool.CancelIfUnsent(numbers[1]);  // it is with its host: left alone
+  pool.CancelIfUnsent(attempt_ids[1]);  // has no effect: the host already has the request
   EXPECT_EQ(pool.connections(), 1u);
   host.requests[0].Answer(200, "");
   ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 2; }));
