--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -35,7 +35,7 @@
 ClientLimits LimitsFor(const Budget& budget) {
   ClientLimits limits;
   limits.sessions = budget.client_sessions;
-  limits.usual = budget.idle_eviction_threshold;
+  limits.eviction_threshold = budget.idle_eviction_threshold;
   limits.body_bytes = budget.body_bytes;
   return limits;
 }
@@ -199,7 +199,7 @@
 void Service::OnPredecessorDescriptors(std::size_t count) {
   if (count == std::exchange(others_, count)) return;
   budget_ = ComputeBudget(MeansOf(config_, edge_file_.get()), others_);
-  clients_.SetPlaces(budget_.client_sessions, budget_.idle_eviction_threshold);
+  clients_.SetSessionLimits(budget_.client_sessions, budget_.idle_eviction_threshold);
   hosts_.SetMost(budget_.host_connections);
   core_.Configure(Fitted());
 }
--- a/src/fronts/http/client_server.cpp
+++ b/src/fronts/http/client_server.cpp
@@ -93,9 +93,11 @@
 bool ClientServer::Waiting() const { return !accepting_ && acceptor_.is_open() && !pass_ && Full(); }
 
 // Connections that clients keep after a request and don't use again count against what they may open: past
-// `usual` they shut further clients out, long before places run out here. In a stop the kept ones are all
-// that clients have left.
-bool ClientServer::Crowded() const { return sessions_.size() > limits_.usual && handlers_.ready(); }
+// `eviction_threshold` they shut further clients out, long before places run out here. In a stop the kept
+// ones are all that clients have left.
+bool ClientServer::Crowded() const {
+  return sessions_.size() > limits_.eviction_threshold && handlers_.ready();
+}
 
 // Makes room: the least worth keeping goes first, and among its like the one that stood for longest. Where
 // there is still room none is closed that has begun a request, or is about to.
@@ -203,9 +205,9 @@
   session->Adopted(unread);
 }
 
-void ClientServer::SetPlaces(std::size_t sessions, std::size_t usual) {
+void ClientServer::SetSessionLimits(std::size_t sessions, std::size_t eviction_threshold) {
   limits_.sessions = sessions;
-  limits_.usual = usual;
+  limits_.eviction_threshold = eviction_threshold;
   if (!Full()) Accept();
 }
 
--- a/src/fronts/http/client_server.hpp
+++ b/src/fronts/http/client_server.hpp
@@ -21,18 +21,18 @@
 
 struct ClientLimits {
   std::size_t sessions = 256;
-  std::size_t usual = 256;              // past it each answer has the longest idle connection closed
-  std::uint64_t body_bytes = 16 << 20;  // that requests may hold together
-  Millis first_request = 2000;          // from connecting: who says nothing by then is closed
-  Millis arrival = 250;                 // of this a new connection is as good as one with a request
-  Millis whole_request = 2600;          // a request that was begun must be whole by then
-  Millis idle = 10000;                  // a connection without a request is closed
-  Millis answer_read = 3000;            // an answer must have been taken in by then
-  Millis body_pause = 2000;             // longest time without any byte of a body that is coming
-  Millis whole_body = 10000;            // one that is held whole must have come by then
-  Millis stream_pause = 10000;          // the same of a long answer that a client reads
-  Millis arrives = 100;                 // an answer that was written has come to its client by then
-  Millis linger = 500;                  // a client that was told of the close gets this to close first
+  std::size_t eviction_threshold = 256;  // past it each answer has the longest idle connection closed
+  std::uint64_t body_bytes = 16 << 20;   // that requests may hold together
+  Millis first_request_timeout = 2000;   // from connecting: who says nothing by then is closed
+  Millis first_request_grace = 250;      // of this a new connection is as good as one with a request
+  Millis request_head_timeout = 2600;    // a request that was begun must be whole by then
+  Millis idle = 10000;                   // a connection without a request is closed
+  Millis answer_write_timeout = 3000;    // an answer must have been taken in by then
+  Millis body_idle_timeout = 2000;       // longest time without any byte of a body that is coming
+  Millis buffered_body_timeout = 10000;  // one that is held whole must have come by then
+  Millis stream_idle_timeout = 10000;    // the same of a long answer that a client reads
+  Millis answer_delivery_time = 100;     // an answer that was written has come to its client by then
+  Millis lingering_close_timeout = 500;  // a client that was told of the close gets this to close first
 };
 
 class ClientServer {
@@ -74,7 +74,7 @@
   // A connection that another process passed on.
   void Adopt(int fd, std::string_view unread);
   int listener() { return acceptor_.native_handle(); }
-  void SetPlaces(std::size_t sessions, std::size_t usual);
+  void SetSessionLimits(std::size_t sessions, std::size_t eviction_threshold);
   std::size_t sessions() const { return sessions_.size(); }
 
  private:
--- a/src/fronts/http/session.cpp
+++ b/src/fronts/http/session.cpp
@@ -55,7 +55,7 @@
 }
 
 bool ClientServer::Session::Arrived(Millis now) const {
-  return answered_ == 0 || now - since_ >= server_.limits_.arrives;
+  return answered_ == 0 || now - since_ >= server_.limits_.answer_delivery_time;
 }
 
 ClientServer::Standing ClientServer::Session::standing(Millis now) const {
@@ -63,7 +63,7 @@
   const bool whole = in_body_ ? reader_.done() : reader_.head_done();  // about to be told
   if (phase_ != Phase::kReading || whole || (reader_.Begun() && answered_ > 0)) return Standing::kKept;
   if (answered_ > 0) return Standing::kBetween;
-  if (now - since_ < server_.limits_.arrival) return Standing::kNew;
+  if (now - since_ < server_.limits_.first_request_grace) return Standing::kNew;
   return reader_.Begun() ? Standing::kHalfRequest : Standing::kSilent;
 }
 
@@ -88,18 +88,19 @@
   const ClientLimits& limits = server_.limits_;
   if (phase_ == Phase::kReading) {
     if (reader_.Begun() && begun_at_ == 0) begun_at_ = answered_ == 0 ? since_ : now;
-    const bool stalled = in_body_ ? now - came_on_ > limits.body_pause || now - body_at_ > limits.whole_body
-                                  : begun_at_ > 0 && now - begun_at_ > limits.whole_request;
+    const bool stalled =
+        in_body_ ? now - came_on_ > limits.body_idle_timeout || now - body_at_ > limits.buffered_body_timeout
+                 : begun_at_ > 0 && now - begun_at_ > limits.request_head_timeout;
     if (stalled) return Send(FaultPage(408, "the request is not whole"));
-    const Millis most = server_.draining_ ? 0 : answered_ == 0 ? limits.first_request : limits.idle;
+    const Millis most = server_.draining_ ? 0 : answered_ == 0 ? limits.first_request_timeout : limits.idle;
     if (now - since_ > most && Rested(now)) Close();
   } else if (phase_ == Phase::kWaiting && upload_ && upload_->waiting() &&
-             now - came_on_ > limits.body_pause) {
+             now - came_on_ > limits.body_idle_timeout) {
     Broken(FaultPage(408, "the request is not whole"));
   } else if (phase_ == Phase::kWriting && writer_.streams()) {
-    if (writer_.writing() && now - writer_.came_on() > limits.stream_pause) Close();
-  } else if ((phase_ == Phase::kWriting && now - since_ > limits.answer_read) ||
-             (phase_ == Phase::kLingering && now - since_ > limits.linger)) {
+    if (writer_.writing() && now - writer_.came_on() > limits.stream_idle_timeout) Close();
+  } else if ((phase_ == Phase::kWriting && now - since_ > limits.answer_write_timeout) ||
+             (phase_ == Phase::kLingering && now - since_ > limits.lingering_close_timeout)) {
     Close();
   }
 }
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -505,7 +505,7 @@
 TEST(ClientServer, EndsSilentAndHalfRequests) {
   asio::io_context io;
   meadowyard::ClientLimits limits;
-  limits.first_request = limits.whole_request = limits.body_pause = 1;
+  limits.first_request_timeout = limits.request_head_timeout = limits.body_idle_timeout = 1;
   std::vector<meadowyard::core::ClientRequest> taken;
   meadowyard::ClientServer server(io, {Loopback()}, limits,
                                   {[] { return true; }, [] { return true; }, ViewOnly,
@@ -526,8 +526,8 @@
 TEST(ClientServer, EndsABodyThatTricklesOn) {
   asio::io_context io;
   meadowyard::ClientLimits limits;
-  limits.body_pause = limits.whole_request = 60000;
-  limits.whole_body = 50;
+  limits.body_idle_timeout = limits.request_head_timeout = 60000;
+  limits.buffered_body_timeout = 50;
   meadowyard::ClientServer server(
       io, {Loopback()}, limits,
       {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::core::ClientRequest) {},
@@ -547,8 +547,8 @@
 TEST(ClientServer, BearsAClientThatGoesOnAfterItWasToldOff) {
   asio::io_context io;
   meadowyard::ClientLimits limits;
-  limits.first_request = limits.whole_request = limits.body_pause = 1;
-  limits.linger = 60000;
+  limits.first_request_timeout = limits.request_head_timeout = limits.body_idle_timeout = 1;
+  limits.lingering_close_timeout = 60000;
   meadowyard::ClientServer server(
       io, {Loopback()}, limits,
       {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::core::ClientRequest) {},
@@ -571,8 +571,8 @@
   asio::io_context io;
   meadowyard::ClientLimits limits;
   limits.sessions = 4;
-  limits.first_request = limits.whole_request = limits.idle = 60000;
-  limits.arrival = 0;
+  limits.first_request_timeout = limits.request_head_timeout = limits.idle = 60000;
+  limits.first_request_grace = 0;
   meadowyard::ClientServer server(
       io, {Loopback()}, limits,
       {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::core::ClientRequest) {},
@@ -599,7 +599,7 @@
   asio::io_context io;
   meadowyard::ClientLimits limits;
   limits.sessions = 3;
-  limits.arrival = limits.first_request = limits.idle = 60000;
+  limits.first_request_grace = limits.first_request_timeout = limits.idle = 60000;
   meadowyard::ClientServer server(
       io, {Loopback()}, limits,
       {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::core::ClientRequest) {},
--- a/tests/race_test.cpp
+++ b/tests/race_test.cpp
@@ -45,7 +45,7 @@
 TEST(Races, ARequestThatCrossesTheDrainIsServed) {
   asio::io_context io;
   meadowyard::ClientLimits limits;
-  limits.arrives = 60000;
+  limits.answer_delivery_time = 60000;
   meadowyard::ClientServer server(io, {Loopback()}, limits,
                                   Handlers([](meadowyard::core::ClientRequest request) {
                                     request.on_answer(meadowyard::core::Answer{});
