--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -191,9 +191,9 @@
 
 void Service::OnSuccessorLost() {
   hosts_.PassIdle(nullptr);
-  clients_.TakeBack();
+  clients_.ResumeServing();
   peers_.Open();
-  if (edge_) edge_->front().TakeBack();
+  if (edge_) edge_->front().ResumeServing();
 }
 
 void Service::OnPredecessorDescriptors(std::size_t count) {
--- a/src/fronts/http/client_server.cpp
+++ b/src/fronts/http/client_server.cpp
@@ -186,7 +186,7 @@
   for (const auto& session : all) session->Yield();
 }
 
-void ClientServer::TakeBack() {
+void ClientServer::ResumeServing() {
   pass_ = nullptr;
   Accept();
 }
--- a/src/fronts/http/client_server.hpp
+++ b/src/fronts/http/client_server.hpp
@@ -70,7 +70,7 @@
   using Pass = std::function<bool(int fd, std::string_view unread)>;
   void HandOver(Pass pass);
   // It serves no more: all is as before.
-  void TakeBack();
+  void ResumeServing();
   // A connection that another process passed on.
   void Adopt(int fd, std::string_view unread);
   int listener() { return acceptor_.native_handle(); }
--- a/src/fronts/tunnel/tunnel_server.cpp
+++ b/src/fronts/tunnel/tunnel_server.cpp
@@ -263,7 +263,7 @@
   }
 }
 
-void TunnelServer::TakeBack() {
+void TunnelServer::ResumeServing() {
   pass_ = nullptr;
   for (const auto& l : listeners_) Accept(l);
 }
--- a/src/fronts/tunnel/tunnel_server.hpp
+++ b/src/fronts/tunnel/tunnel_server.hpp
@@ -60,7 +60,7 @@
 
   // Another process serves: each tunnel goes to `pass` when it can.
   void HandOver(Tunnel::Pass pass);
-  void TakeBack();
+  void ResumeServing();
   void Adopt(int client, int host, std::string_view text);
 
   std::size_t open() const { return tunnels_.size(); }
