--- a/src/fronts/http/answer_writer.hpp
+++ b/src/fronts/http/answer_writer.hpp
@@ -1,4 +1,4 @@
-// Writes answers to a client: whole ones at once, long ones as they come.
+/// @file Writes answers to a client connection: buffered answers in one piece, long answers as a stream.
 #ifndef MEADOWYARD_FRONTS_HTTP_ANSWER_WRITER_HPP_
 #define MEADOWYARD_FRONTS_HTTP_ANSWER_WRITER_HPP_
 
@@ -12,44 +12,50 @@
 
 namespace meadowyard {
 
+/// Writes one answer at a time to `socket`, which has to outlive it and be in non-blocking mode.
 class AnswerWriter {
  public:
-  enum class End { kWritten, kBroken, kCut };  // kCut: the client must be able to tell that it is not whole
-  // `owner` is kept while a write or a piece is awaited.
-  AnswerWriter(boost::asio::ip::tcp::socket& socket, std::function<std::shared_ptr<void>()> owner,
-               std::function<void(End)> ended)
-      : socket_(socket), owner_(std::move(owner)), ended_(std::move(ended)) {}
-
-  void WriteWhole(std::string text);
-  // `head` with the first of the body, framed already; `passed` is told whether all of it went out.
-  void WriteStream(std::string head, std::shared_ptr<core::BodySource> rest, bool chunked,
-                   std::function<void(bool)> passed);
-  // The connection is closed.
+  /// How writing ended. kBroken: writing to the client failed. kTruncated: the body source failed; the
+  /// connection has to be reset so that the client can tell that the answer is incomplete.
+  enum class End { kWritten, kBroken, kTruncated };
+  /// The result of `owner_reference` is held during each asynchronous wait for the socket or for body data.
+  /// `on_end` is called once for each answer, unless Stop() comes first.
+  AnswerWriter(boost::asio::ip::tcp::socket& socket, std::function<std::shared_ptr<void>()> owner_reference,
+               std::function<void(End)> on_end)
+      : socket_(socket), owner_reference_(std::move(owner_reference)), on_end_(std::move(on_end)) {}
+
+  /// Writes a complete answer, head and body.
+  void WriteComplete(std::string text);
+  /// Writes `head`, which includes the first part of the body with its framing, and then `remaining_body`.
+  /// `on_delivered(true)` follows when everything was written, `on_delivered(false)` when it ended earlier.
+  void WriteStream(std::string head, std::shared_ptr<core::BodySource> remaining_body, bool chunked,
+                   std::function<void(bool)> on_delivered);
+  /// Cancels the answer that is being written; has to be called when the connection is closed.
   void Stop();
 
-  bool streams() const { return rest_ != nullptr; }
-  // A piece has waited for the client since then.
+  bool is_streaming() const { return remaining_body_ != nullptr; }
+  /// While writing(), the client has accepted no data since last_progress_at().
   bool writing() const { return writing_; }
-  Millis came_on() const { return came_on_; }
+  Millis last_progress_at() const { return last_progress_at_; }
 
  private:
   void WriteMore();
-  void Wrote();
-  void AskOn();
-  void EndStream(bool whole);
+  void OnTextWritten();
+  void RequestNextPiece();
+  void EndStream(bool complete);
 
   boost::asio::ip::tcp::socket& socket_;
-  const std::function<std::shared_ptr<void>()> owner_;
-  const std::function<void(End)> ended_;
-  std::string text_;         // what is being written
-  std::size_t written_ = 0;  // of it
-  std::shared_ptr<core::BodySource> rest_;
-  std::function<void(bool)> passed_;
+  const std::function<std::shared_ptr<void>()> owner_reference_;
+  const std::function<void(End)> on_end_;
+  std::string output_;             // the bytes being written
+  std::size_t written_bytes_ = 0;  // how many bytes of output_ were written
+  std::shared_ptr<core::BodySource> remaining_body_;
+  std::function<void(bool)> on_delivered_;
   bool chunked_ = false;
-  bool last_ = false;
+  bool is_last_ = false;  // output_ ends the answer
   bool writing_ = false;
-  std::uint64_t turn_ = 0;  // what an earlier wait brings means nothing any more
-  Millis came_on_ = 0;
+  std::uint64_t generation_ = 0;  // a callback of an earlier generation is ignored
+  Millis last_progress_at_ = 0;
 };
 
 }  // namespace meadowyard
--- a/src/fronts/http/client_server.cpp
+++ b/src/fronts/http/client_server.cpp
@@ -19,27 +19,32 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr Millis kSweepEvery = 200;
-constexpr Millis kTurn = 50;  // of the loop, where it isn't behind
-constexpr int kAcceptedInATurn = 16;
-constexpr Millis kAcceptAgain = 50;  // after an accept that failed, out of descriptors perhaps
+constexpr Millis kSweepInterval = 200;
+constexpr Millis kMaxLoopPassTime = 50;  // longest pass of the event loop that is not delayed
+constexpr int kMaxAcceptsPerEvent = 16;
+constexpr Millis kAcceptRetryDelay = 50;  // after a failed accept, for example without free descriptors
 
 }  // namespace
 
-ClientServer::ClientServer(asio::io_context& io, const Door& door, const ClientLimits& limits,
-                           Handlers handlers)
-    : io_(io), acceptor_(io), limits_(limits), handlers_(std::move(handlers)), sweep_(io), accept_again_(io) {
-  if (door.listener >= 0) {
-    acceptor_.assign(door.address.protocol(), door.listener);
+ClientServer::ClientServer(asio::io_context& io, const ListenOptions& listen_options,
+                           const ClientLimits& limits, Handlers handlers)
+    : io_(io),
+      acceptor_(io),
+      limits_(limits),
+      handlers_(std::move(handlers)),
+      sweep_timer_(io),
+      accept_retry_timer_(io) {
+  if (listen_options.listener >= 0) {
+    acceptor_.assign(listen_options.address.protocol(), listen_options.listener);
     acceptor_.non_blocking(true);
   } else {
-    acceptor_.open(door.address.protocol());
+    acceptor_.open(listen_options.address.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
-    if (door.shared) {
+    if (listen_options.reuse_port) {
       acceptor_.set_option(asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>(true));
     }
     acceptor_.non_blocking(true);
-    acceptor_.bind(door.address);
+    acceptor_.bind(listen_options.address);
     acceptor_.listen();
   }
   Accept();
@@ -49,145 +54,157 @@
 ClientServer::~ClientServer() = default;
 
 void ClientServer::Accept() {
-  if (accepting_ || !acceptor_.is_open() || pass_ || !handlers_.room()) return;
+  if (accepting_ || !acceptor_.is_open() || hand_over_ || !handlers_.has_memory()) return;
   accepting_ = true;
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code ec) {
     accepting_ = false;
     if (!acceptor_.is_open()) return;
-    if (ec == asio::error::operation_aborted) return Accept();  // does nothing while another process serves
-    if (std::exchange(queue_empty_, false)) queue_empty_at_ = std::max(queue_empty_at_, LookedAt());
-    for (int i = 0; i < kAcceptedInATurn && !ec; ++i) {
-      // With all places taken by requests under way, further clients wait in the kernel's queue.
-      if (Full() && !Evict()) return;
+    if (ec == asio::error::operation_aborted) return Accept();  // has no effect during a handover
+    if (std::exchange(queue_empty_, false)) queue_empty_at_ = std::max(queue_empty_at_, LastSocketCheck());
+    for (int i = 0; i < kMaxAcceptsPerEvent && !ec; ++i) {
+      // If all sessions have requests in progress, further clients wait in the kernel's accept queue.
+      if (IsFull() && !Evict()) return;
       tcp::socket socket = acceptor_.accept(ec);
-      if (!ec) Accepted(std::move(socket));
+      if (!ec) AddSession(std::move(socket));
     }
     if (ec == asio::error::would_block) queue_empty_ = true, queue_empty_at_ = core::Now();
     if (!ec || queue_empty_) return Accept();
     if (ec == asio::error::no_descriptors) Evict();
-    accept_again_.expires_after(core::ToDuration(kAcceptAgain));  // at once would spin
-    accept_again_.async_wait([this](error_code wait_ec) {
+    accept_retry_timer_.expires_after(core::ToDuration(kAcceptRetryDelay));  // an immediate retry would spin
+    accept_retry_timer_.async_wait([this](error_code wait_ec) {
       if (!wait_ec) Accept();
     });
   });
 }
 
-// By then the loop had looked at all sockets: no sooner came what lies in one that it finds now.
-Millis ClientServer::LookedAt() const {
+// A time at which the event loop had checked all sockets for data: data found now arrived after it.
+Millis ClientServer::LastSocketCheck() const {
   const Millis now = core::Now();
-  return now - swept_at_ > kSweepEvery + kTurn ? swept_at_ : now - kTurn;
+  return now - last_sweep_at_ > kSweepInterval + kMaxLoopPassTime ? last_sweep_at_ : now - kMaxLoopPassTime;
 }
 
-void ClientServer::Accepted(tcp::socket socket) {
+void ClientServer::AddSession(tcp::socket socket) {
   const auto session = std::make_shared<Session>(*this, std::move(socket), queue_empty_at_);
   sessions_.insert(session);
   session->Begin();
 }
 
-void ClientServer::Closed(const std::shared_ptr<Session>& session) {
+void ClientServer::RemoveSession(const std::shared_ptr<Session>& session) {
   sessions_.erase(session);
-  if (stopped_ && sessions_.empty()) asio::post(io_, std::exchange(stopped_, nullptr));
-  if (!Full()) Accept();
+  if (on_drained_ && sessions_.empty()) asio::post(io_, std::exchange(on_drained_, nullptr));
+  if (!IsFull()) Accept();
 }
 
-bool ClientServer::Waiting() const { return !accepting_ && acceptor_.is_open() && !pass_ && Full(); }
+bool ClientServer::HasQueuedClients() const {
+  return !accepting_ && acceptor_.is_open() && !hand_over_ && IsFull();
+}
 
-// Connections that clients keep after a request and don't use again count against what they may open: past
-// `eviction_threshold` they shut further clients out, long before places run out here. In a stop the kept
-// ones are all that clients have left.
-bool ClientServer::Crowded() const {
-  return sessions_.size() > limits_.eviction_threshold && handlers_.ready();
+// Idle persistent connections count against the number that clients may open: above `eviction_threshold` they
+// keep further clients out, long before the session limit is reached here. No connection is closed for this
+// while the gateway is not ready: during a shutdown, the open connections are the only ones that clients have
+// left.
+bool ClientServer::IsAboveEvictionThreshold() const {
+  return sessions_.size() > limits_.eviction_threshold && handlers_.is_ready();
 }
 
-// Makes room: the least worth keeping goes first, and among its like the one that stood for longest. Where
-// there is still room none is closed that has begun a request, or is about to.
+// Closes one connection: the first by EvictionRank, and among equals the one that has been in its state for
+// longest. `idle_only`, for when the session limit is not reached, spares connections that have started to
+// send a request or are new and about to.
 bool ClientServer::Evict(bool idle_only) {
   const Millis now = core::Now();
   struct Candidate {
-    Standing standing;
-    Millis since;
+    EvictionRank eviction_rank;
+    Millis phase_started_at;
     Session* session;
   };
   std::vector<Candidate> all;
   all.reserve(sessions_.size());
   for (const auto& session : sessions_) {
-    const Candidate c{session->standing(now), session->since(), session.get()};
-    if (c.standing == Standing::kKept) continue;
-    if (idle_only && (c.standing == Standing::kHalfRequest || c.standing == Standing::kNew)) continue;
-    all.push_back(c);
+    const Candidate candidate{session->eviction_rank(now), session->phase_started_at(), session.get()};
+    if (candidate.eviction_rank == EvictionRank::kNotEvictable) continue;
+    if (idle_only && (candidate.eviction_rank == EvictionRank::kPartialRequest ||
+                      candidate.eviction_rank == EvictionRank::kNewConnection))
+      continue;
+    all.push_back(candidate);
   }
-  // The socket is asked about those alone that would go: a call to the kernel for each of hundreds, at each
-  // connection of a crowd, took more of the core than all else.
-  const auto keep = [](const Candidate& a, const Candidate& b) {
-    return std::tie(a.standing, a.since) > std::tie(b.standing, b.since);
+  // Checks the socket only of the connections that come first in this order. A system call for each of
+  // hundreds of sessions, repeated for each new connection of a burst, used more CPU time than everything
+  // else.
+  const auto is_evicted_later = [](const Candidate& a, const Candidate& b) {
+    return std::tie(a.eviction_rank, a.phase_started_at) > std::tie(b.eviction_rank, b.phase_started_at);
   };
-  std::make_heap(all.begin(), all.end(), keep);
+  std::make_heap(all.begin(), all.end(), is_evicted_later);
   for (; !all.empty(); all.pop_back()) {
-    std::pop_heap(all.begin(), all.end(), keep);
-    Session& worst = *all.back().session;
-    const bool arrived = !idle_only || all.back().standing != Standing::kBetween || worst.Arrived(now);
-    if (!arrived || !worst.MayEvict()) continue;
-    worst.Close();
+    std::pop_heap(all.begin(), all.end(), is_evicted_later);
+    Session& candidate_session = *all.back().session;
+    const bool answer_delivered = !idle_only || all.back().eviction_rank != EvictionRank::kIdlePersistent ||
+                                  candidate_session.IsAnswerDelivered(now);
+    if (!answer_delivered || !candidate_session.IsSafeToEvict()) continue;
+    candidate_session.Close();
     return true;
   }
   return false;
 }
 
-bool ClientServer::Reserve(std::uint64_t bytes, std::size_t& held) {
-  if (reserved_ + bytes > limits_.body_bytes) return false;
-  held += bytes;
-  reserved_ += bytes;
+bool ClientServer::Reserve(std::uint64_t bytes, std::size_t& session_reserved_bytes) {
+  if (reserved_body_bytes_ + bytes > limits_.body_bytes) return false;
+  session_reserved_bytes += bytes;
+  reserved_body_bytes_ += bytes;
   return true;
 }
 
 void ClientServer::Sweep() {
-  swept_at_ = core::Now();
-  sweep_.expires_after(core::ToDuration(kSweepEvery));  // first: the next one comes whatever this one meets
-  sweep_.async_wait([this](error_code ec) {
+  last_sweep_at_ = core::Now();
+  // Starts the timer first, so that the next sweep follows whatever happens in this one.
+  sweep_timer_.expires_after(core::ToDuration(kSweepInterval));
+  sweep_timer_.async_wait([this](error_code ec) {
     if (!ec) Sweep();
   });
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
   for (const auto& session : all) {
-    if (pass_) session->Yield();
+    if (hand_over_) session->RequestHandover();
     session->Sweep(core::Now());
   }
-  while ((!handlers_.room() || Crowded()) && Evict(/*idle_only=*/true)) {
+  while ((!handlers_.has_memory() || IsAboveEvictionThreshold()) && Evict(/*idle_only=*/true)) {
   }
-  Accept();  // it may have been given up for want of memory, or of a place that can be had by now
+  Accept();  // may have stopped for lack of memory or of a session that could be evicted
 }
 
 void ClientServer::StopListening() {
-  // Whoever stands in the queue has connected, and may have sent a request: to close on it would lose that.
-  for (error_code ec; !Full() || Evict();) {
+  // Clients in the accept queue are connected and may have sent requests, which closing the listener would
+  // lose.
+  for (error_code ec; !IsFull() || Evict();) {
     tcp::socket socket = acceptor_.accept(ec);
     if (ec) break;
-    Accepted(std::move(socket));
+    AddSession(std::move(socket));
   }
   error_code ignored;
   acceptor_.close(ignored);
-  accept_again_.cancel();
+  accept_retry_timer_.cancel();
 }
 
-void ClientServer::Drain(std::function<void()> done) {
-  draining_ = !pass_;
-  stopped_ = std::move(done);
+void ClientServer::Drain(std::function<void()> on_drained) {
+  draining_ = !hand_over_;
+  on_drained_ = std::move(on_drained);
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
   for (const auto& session : all) {
-    if (!pass_ && session->Rested(core::Now())) session->Close();  // the others as they are swept
+    if (!hand_over_ && session->CanCloseIdle(core::Now()))
+      session->Close();  // the others are closed in Sweep()
   }
-  if (stopped_ && sessions_.empty()) asio::post(io_, std::exchange(stopped_, nullptr));
+  if (on_drained_ && sessions_.empty()) asio::post(io_, std::exchange(on_drained_, nullptr));
 }
 
-void ClientServer::HandOver(Pass pass) {
-  pass_ = std::move(pass);
+void ClientServer::HandOver(HandOverFunction hand_over) {
+  hand_over_ = std::move(hand_over);
   error_code ignored;
-  acceptor_.cancel(ignored);  // one that was accepted by now is still told, and is handed over in its turn
+  acceptor_.cancel(
+      ignored);  // a connection that is already accepted is still processed, and handed over later
   const std::vector<std::shared_ptr<Session>> all(sessions_.begin(), sessions_.end());
-  for (const auto& session : all) session->Yield();
+  for (const auto& session : all) session->RequestHandover();
 }
 
 void ClientServer::ResumeServing() {
-  pass_ = nullptr;
+  hand_over_ = nullptr;
   Accept();
 }
 
@@ -195,20 +212,20 @@
   error_code ec;
   tcp::socket socket(io_);
   socket.assign(acceptor_.local_endpoint(ec).protocol(), fd, ec);
-  if (ec || unread.size() > kMostReadBuffer) {
+  if (ec || unread.size() > kMaxReadBufferBytes) {
     ::close(fd);
     return;
   }
-  if (Full()) Evict();
+  if (IsFull()) Evict();
   const auto session = std::make_shared<Session>(*this, std::move(socket), core::Now());
   sessions_.insert(session);
-  session->Adopted(unread);
+  session->StartAdopted(unread);
 }
 
 void ClientServer::SetSessionLimits(std::size_t sessions, std::size_t eviction_threshold) {
   limits_.sessions = sessions;
   limits_.eviction_threshold = eviction_threshold;
-  if (!Full()) Accept();
+  if (!IsFull()) Accept();
 }
 
 }  // namespace meadowyard
--- a/src/fronts/http/client_server.hpp
+++ b/src/fronts/http/client_server.hpp
@@ -1,4 +1,4 @@
-// The side that clients see: the listener, /up, the parsing of requests, and the one answer to each.
+/// @file The HTTP server for clients: listens, serves /up, parses requests and sends one answer to each.
 #ifndef MEADOWYARD_CLIENT_SERVER_HPP_
 #define MEADOWYARD_CLIENT_SERVER_HPP_
 
@@ -19,59 +19,67 @@
 
 namespace meadowyard {
 
+/// Limits in sessions, bytes and milliseconds.
 struct ClientLimits {
   std::size_t sessions = 256;
-  std::size_t eviction_threshold = 256;  // past it each answer has the longest idle connection closed
-  std::uint64_t body_bytes = 16 << 20;   // that requests may hold together
-  Millis first_request_timeout = 2000;   // from connecting: who says nothing by then is closed
-  Millis first_request_grace = 250;      // of this a new connection is as good as one with a request
-  Millis request_head_timeout = 2600;    // a request that was begun must be whole by then
-  Millis idle = 10000;                   // a connection without a request is closed
-  Millis answer_write_timeout = 3000;    // an answer must have been taken in by then
-  Millis body_idle_timeout = 2000;       // longest time without any byte of a body that is coming
-  Millis buffered_body_timeout = 10000;  // one that is held whole must have come by then
-  Millis stream_idle_timeout = 10000;    // the same of a long answer that a client reads
-  Millis answer_delivery_time = 100;     // an answer that was written has come to its client by then
-  Millis lingering_close_timeout = 500;  // a client that was told of the close gets this to close first
+  std::size_t eviction_threshold = 256;  // above it, each answer closes the longest idle connection
+  std::uint64_t body_bytes = 16 << 20;   // buffered request bodies, all sessions together
+  Millis first_request_timeout = 2000;   // from accept to the first byte, then closed
+  Millis first_request_grace = 250;      // a new connection is evicted last for this long
+  Millis request_head_timeout = 2600;    // for the head; from accept (first request) or the first byte
+  Millis idle = 10000;                   // of a persistent connection between requests
+  Millis answer_write_timeout = 3000;    // to write a complete answer to the client
+  Millis body_idle_timeout = 2000;       // longest gap without data in a request body
+  Millis buffered_body_timeout = 10000;  // to receive a body that is buffered before dispatch
+  Millis stream_idle_timeout = 10000;    // longest time without progress in writing a streamed answer
+  Millis answer_delivery_time = 100;     // after this, a written answer counts as delivered
+  Millis lingering_close_timeout = 500;  // for the client to close after Connection: close
 };
 
+/// Accepts client connections and passes their requests to Handlers.
 class ClientServer {
  public:
   struct Handlers {
-    std::function<bool()> ready;
-    std::function<bool()> room;  // there is memory for more
-    std::function<Policy::Admission(const std::string& class_name, Idempotency effect)> admits;
-    std::function<void(core::ClientRequest)> taken;
-    std::function<void(const std::string& id)> whole;  // the body that was still coming is whole
-    std::function<void(const std::string& id)> gone;   // the client of an unanswered request has left
+    std::function<bool()> is_ready;
+    std::function<bool()> has_memory;  // whether there is memory for another request
+    std::function<Policy::Admission(const std::string& class_name, Idempotency effect)> check_admission;
+    std::function<void(core::ClientRequest)> on_request;
+    /// The body of a dispatched request has been received completely.
+    std::function<void(const std::string& id)> on_body_complete;
+    /// The client disconnected before its answer, or did not send its request completely.
+    std::function<void(const std::string& id)> on_client_left;
   };
 
-  // Where clients connect: an address to listen at, perhaps along with another process, or a socket that
-  // another process listens at already.
-  struct Door {
+  /// Where to listen: at an address, with `reuse_port` together with other processes, or on a `listener`
+  /// descriptor inherited from another process.
+  struct ListenOptions {
     boost::asio::ip::tcp::endpoint address;
-    bool shared = false;
+    bool reuse_port = false;
     int listener = -1;
   };
-  // Listens at once. Throws boost::system::system_error if it can't.
-  ClientServer(boost::asio::io_context& io, const Door& door, const ClientLimits& limits, Handlers handlers);
+  /// Starts listening. Throws boost::system::system_error on failure.
+  ClientServer(boost::asio::io_context& io, const ListenOptions& listen_options, const ClientLimits& limits,
+               Handlers handlers);
   ~ClientServer();
 
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
-  // Takes what has connected so far, then closes the listener.
+  /// Accepts the connections in the accept queue, as far as there are sessions for them, then closes the
+  /// listener.
   void StopListening();
-  // Closes the connections between requests; from now on each answer closes its own. `done` follows when the
-  // last one is closed.
-  void Drain(std::function<void()> done);
+  /// Closes idle connections; from now on each connection is closed after its answer. Calls `on_drained` when
+  /// the last connection is closed.
+  void Drain(std::function<void()> on_drained);
 
-  // Another process serves from now on: nothing is accepted here, and each connection goes to `pass` as it
-  // comes between two requests, with what was read of the next one. What isn't taken is served here.
-  using Pass = std::function<bool(int fd, std::string_view unread)>;
-  void HandOver(Pass pass);
-  // It serves no more: all is as before.
+  /// Hands over to another process: stops accepting, and passes each connection to `hand_over` when it is
+  /// between two requests, with the data already read of the next one. A connection for which it returns
+  /// false is served here.
+  using HandOverFunction = std::function<bool(int fd, std::string_view unread)>;
+  void HandOver(HandOverFunction hand_over);
+  /// Ends the handover because the other process no longer serves: accepts connections and keeps them here
+  /// again.
   void ResumeServing();
-  // A connection that another process passed on.
+  /// Serves a connection that another process handed over; `unread` is the data it has read. Takes over `fd`.
   void Adopt(int fd, std::string_view unread);
   int listener() { return acceptor_.native_handle(); }
   void SetSessionLimits(std::size_t sessions, std::size_t eviction_threshold);
@@ -79,35 +87,44 @@
 
  private:
   class Session;
-  // The order in which connections are closed where places have run out.
-  enum class Standing { kTold, kSilent, kHalfRequest, kBetween, kNew, kKept };
+  // Connection states, in the order in which they are evicted at the session limit. kLingeringClose:
+  // Connection: close was sent; kPartialRequest: a part of the first request was received; kIdlePersistent:
+  // idle after an answer; kNewConnection: accepted within first_request_grace.
+  enum class EvictionRank {
+    kLingeringClose,
+    kNothingReceived,
+    kPartialRequest,
+    kIdlePersistent,
+    kNewConnection,
+    kNotEvictable
+  };
   void Accept();
-  void Accepted(boost::asio::ip::tcp::socket socket);
-  void Closed(const std::shared_ptr<Session>& session);
-  bool Full() const { return sessions_.size() >= limits_.sessions; }
-  // Clients stand in the kernel's queue for want of a place.
-  bool Waiting() const;
-  bool Crowded() const;
+  void AddSession(boost::asio::ip::tcp::socket socket);
+  void RemoveSession(const std::shared_ptr<Session>& session);
+  bool IsFull() const { return sessions_.size() >= limits_.sessions; }
+  // Connections may wait in the kernel's accept queue because the session limit is reached.
+  bool HasQueuedClients() const;
+  bool IsAboveEvictionThreshold() const;
   bool Evict(bool idle_only = false);
-  // Counts a body that is to be read; false if there is no room for it.
-  bool Reserve(std::uint64_t bytes, std::size_t& held);
+  // Reserves buffer space for a request body; false if that would exceed the limit of body_bytes.
+  bool Reserve(std::uint64_t bytes, std::size_t& session_reserved_bytes);
   void Sweep();
-  Millis LookedAt() const;
+  Millis LastSocketCheck() const;
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
   ClientLimits limits_;
-  Pass pass_;
-  std::uint64_t reserved_ = 0;
+  HandOverFunction hand_over_;
+  std::uint64_t reserved_body_bytes_ = 0;
   const Handlers handlers_;
   std::unordered_set<std::shared_ptr<Session>> sessions_;
-  boost::asio::steady_timer sweep_;
-  boost::asio::steady_timer accept_again_;
-  Millis queue_empty_at_ = core::Now();  // who connects stands in the kernel's queue, which was empty then
-  bool queue_empty_ = true;              // and has been since, as far as is known
-  Millis swept_at_ = core::Now();
+  boost::asio::steady_timer sweep_timer_;
+  boost::asio::steady_timer accept_retry_timer_;
+  Millis queue_empty_at_ = core::Now();  // last time the kernel's accept queue was known to be empty
+  bool queue_empty_ = true;              // no connection has been seen in the accept queue since then
+  Millis last_sweep_at_ = core::Now();
   bool accepting_ = false;
   bool draining_ = false;
-  std::function<void()> stopped_;
+  std::function<void()> on_drained_;
 };
 
 }  // namespace meadowyard
--- a/src/fronts/http/leave_watch.cpp
+++ b/src/fronts/http/leave_watch.cpp
@@ -10,41 +10,43 @@
 using boost::system::error_code;
 using tcp = boost::asio::ip::tcp;
 
-constexpr std::size_t kMostReadAhead = 4096;  // of what follows a request that waits
-constexpr Millis kGlanceEvery = 50;  // half of the time in which a client that has left must be noticed
+constexpr std::size_t kMaxReadAheadBytes = 4096;  // pipelined data read while a request is unanswered
+constexpr Millis kPollInterval = 50;  // half of the 100 ms within which a disconnect has to be detected
 
 }  // namespace
 
-bool HasEnded(int socket) {
-  pollfd asked = {socket, POLLRDHUP, 0};
-  return ::poll(&asked, 1, 0) > 0 && (asked.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+bool IsClosedByPeer(int socket) {
+  pollfd descriptor = {socket, POLLRDHUP, 0};
+  return ::poll(&descriptor, 1, 0) > 0 && (descriptor.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-void LeaveWatch::Begin(bool reads) {
+void LeaveWatch::Begin(bool read_ahead) {
   End();
-  if (!reads) return Glance();
-  if (!reader_.unread().empty()) handlers_.came();
-  ReadOn();
+  if (!read_ahead) return PollForClose();
+  if (!reader_.unread().empty()) handlers_.on_data();
+  ReadPipelined();
 }
 
-void LeaveWatch::ReadOn() {
-  if (reader_.unread().size() >= kMostReadAhead) return Glance();
-  socket_.async_wait(tcp::socket::wait_read, [this, owner = handlers_.owner(), turn = turn_](error_code ec) {
-    if (turn_ != turn) return;
-    if (!ec) ec = reader_.ReadAhead(kMostReadAhead);
-    if (ec && ec != boost::asio::error::would_block) return handlers_.left();
-    if (!reader_.unread().empty()) handlers_.came();
-    ReadOn();
+void LeaveWatch::ReadPipelined() {
+  if (reader_.unread().size() >= kMaxReadAheadBytes) return PollForClose();
+  socket_.async_wait(tcp::socket::wait_read, [this, owner_reference = handlers_.owner_reference(),
+                                              generation = generation_](error_code ec) {
+    if (generation_ != generation) return;
+    if (!ec) ec = reader_.ReadAhead(kMaxReadAheadBytes);
+    if (ec && ec != boost::asio::error::would_block) return handlers_.on_disconnect();
+    if (!reader_.unread().empty()) handlers_.on_data();
+    ReadPipelined();
   });
 }
 
-void LeaveWatch::Glance() {
+void LeaveWatch::PollForClose() {
   if (!timer_) timer_.emplace(io_);
-  timer_->expires_after(core::ToDuration(kGlanceEvery));
-  timer_->async_wait([this, owner = handlers_.owner(), turn = turn_](error_code ec) {
-    if (ec || turn_ != turn) return;
-    HasEnded(socket_.native_handle()) ? handlers_.left() : Glance();
-  });
+  timer_->expires_after(core::ToDuration(kPollInterval));
+  timer_->async_wait(
+      [this, owner_reference = handlers_.owner_reference(), generation = generation_](error_code ec) {
+        if (ec || generation_ != generation) return;
+        IsClosedByPeer(socket_.native_handle()) ? handlers_.on_disconnect() : PollForClose();
+      });
 }
 
 }  // namespace meadowyard
--- a/src/fronts/http/leave_watch.hpp
+++ b/src/fronts/http/leave_watch.hpp
@@ -1,4 +1,4 @@
-// Notices that the client of a request which still waits has left, whatever it sent before it went.
+/// @file Detects that a client disconnects while its request is unanswered, whatever data it sent before.
 #ifndef MEADOWYARD_FRONTS_HTTP_LEAVE_WATCH_HPP_
 #define MEADOWYARD_FRONTS_HTTP_LEAVE_WATCH_HPP_
 
@@ -15,37 +15,41 @@
 
 namespace meadowyard {
 
-// The other side has closed, half-closed or reset the connection, whatever lies unread before that.
-bool HasEnded(int socket);
+/// True if the peer has closed, half-closed or reset the connection, even with unread data in the socket.
+bool IsClosedByPeer(int socket);
 
-// The end of what a client sends lies behind all that it sent. So what comes is read on, into the head's
-// buffer and up to a bound; beyond that, and while a body is held back, the kernel is asked every now and
-// then whether the end has come. Why a half-close is an end: docs/design/gateway.md.
+/// Watches the connection of an unanswered request. A read reports the close only after all data that the
+/// client sent before it. So pipelined data is read ahead into the buffer for request heads, up to a limit.
+/// Beyond the limit, and while flow control holds a request body back, the socket is polled periodically
+/// instead. docs/design/gateway.md explains why a half-close counts as a disconnect.
 class LeaveWatch {
  public:
   struct Handlers {
-    std::function<std::shared_ptr<void>()> owner;  // is kept while something is under way
-    std::function<void()> came;                    // something was read of what follows the request
-    std::function<void()> left;
+    /// Its result is held during each asynchronous wait.
+    std::function<std::shared_ptr<void>()> owner_reference;
+    /// Data behind the request has been read.
+    std::function<void()> on_data;
+    std::function<void()> on_disconnect;
   };
   LeaveWatch(boost::asio::io_context& io, boost::asio::ip::tcp::socket& socket, RequestReader& reader,
              Handlers handlers)
       : io_(io), socket_(socket), reader_(reader), handlers_(std::move(handlers)) {}
 
-  // Without `reads` nothing is read: the body of the request is read elsewhere.
-  void Begin(bool reads);
-  void End() { ++turn_; }
+  /// Starts watching. With `read_ahead` false nothing is read, because the owner still reads the request's
+  /// body.
+  void Begin(bool read_ahead);
+  void End() { ++generation_; }
 
  private:
-  void ReadOn();
-  void Glance();
+  void ReadPipelined();
+  void PollForClose();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::socket& socket_;
   RequestReader& reader_;
   const Handlers handlers_;
-  std::optional<boost::asio::steady_timer> timer_;  // most never need one
-  std::uint64_t turn_ = 0;
+  std::optional<boost::asio::steady_timer> timer_;  // created on first use: most connections never need it
+  std::uint64_t generation_ = 0;
 };
 
 }  // namespace meadowyard
--- a/src/fronts/http/request_reader.cpp
+++ b/src/fronts/http/request_reader.cpp
@@ -4,13 +4,13 @@
 namespace {
 
 namespace http = boost::beast::http;
-constexpr std::size_t kKeptBuffer = 4096;  // what a connection between requests may hold on to
+constexpr std::size_t kMaxIdleBufferBytes = 4096;  // for an idle persistent connection
 
 }  // namespace
 
 void RequestReader::Restart() {
   piece_ = {};
-  if (buffer_.size() == 0 && buffer_.capacity() > kKeptBuffer) buffer_.shrink_to_fit();
+  if (buffer_.size() == 0 && buffer_.capacity() > kMaxIdleBufferBytes) buffer_.shrink_to_fit();
   parser_.emplace();
   parser_->body_limit(core::kMaxBodyBytes);
   parser_->header_limit(kMostHeader);
@@ -27,14 +27,14 @@
 }
 
 void RequestReader::Feed(std::string_view unread) {
-  const auto room = buffer_.prepare(unread.size());
-  buffer_.commit(boost::asio::buffer_copy(room, boost::asio::buffer(unread.data(), unread.size())));
+  const auto space = buffer_.prepare(unread.size());
+  buffer_.commit(boost::asio::buffer_copy(space, boost::asio::buffer(unread.data(), unread.size())));
 }
 
-RequestReader::Error RequestReader::ReadAhead(std::size_t most) {
+RequestReader::Error RequestReader::ReadAhead(std::size_t max_bytes) {
   Error ec;
-  while (!ec && buffer_.size() < most) {
-    buffer_.commit(socket_.read_some(buffer_.prepare(most - buffer_.size()), ec));
+  while (!ec && buffer_.size() < max_bytes) {
+    buffer_.commit(socket_.read_some(buffer_.prepare(max_bytes - buffer_.size()), ec));
   }
   return ec;
 }
@@ -45,28 +45,28 @@
 }
 
 Page MalformedPage(boost::system::error_code ec) {
-  const bool large = ec == http::error::body_limit;
-  const bool header = ec == http::error::header_limit || ec == http::error::buffer_overflow;
-  return FaultPage(large ? 413 : header ? 431 : 400, ec.message());
+  const bool body_too_large = ec == http::error::body_limit;
+  const bool head_too_large = ec == http::error::header_limit || ec == http::error::buffer_overflow;
+  return ErrorPage(body_too_large ? 413 : head_too_large ? 431 : 400, ec.message());
 }
 
-void Upload::RequestData(DataCallback take) {
-  begun_ = true;
-  if (!asked_) {
-    boost::asio::post(io_, [take = std::move(take)] { take(Status::kBroken, {}); });
+void Upload::RequestData(DataCallback callback) {
+  data_requested_ = true;
+  if (!on_data_requested_) {
+    boost::asio::post(io_, [callback = std::move(callback)] { callback(Status::kBroken, {}); });
     return;
   }
-  take_ = std::move(take);
-  asked_();
+  callback_ = std::move(callback);
+  on_data_requested_();
 }
 
-void Upload::Give(Status next, std::string_view piece) {
-  if (const auto take = std::exchange(take_, nullptr)) take(next, piece);
+void Upload::Deliver(Status status, std::string_view piece) {
+  if (const auto callback = std::exchange(callback_, nullptr)) callback(status, piece);
 }
 
 void Upload::Detach() {
-  asked_ = nullptr;
-  Give(Status::kBroken, {});
+  on_data_requested_ = nullptr;
+  Deliver(Status::kBroken, {});
 }
 
 }  // namespace meadowyard
--- a/src/fronts/http/request_reader.hpp
+++ b/src/fronts/http/request_reader.hpp
@@ -1,4 +1,4 @@
-// Reads a client's requests from its connection: heads, and bodies a piece at a time.
+/// @file Reads requests from a client connection: complete heads, and bodies in pieces.
 #ifndef MEADOWYARD_FRONTS_HTTP_REQUEST_READER_HPP_
 #define MEADOWYARD_FRONTS_HTTP_REQUEST_READER_HPP_
 
@@ -20,37 +20,39 @@
 
 namespace meadowyard {
 
-constexpr std::size_t kMostReadBuffer = 24 * 1024;  // holds a whole head; bodies pass through it
+constexpr std::size_t kMaxReadBufferBytes = 24 * 1024;  // fits a complete head; body data passes through it
 
+/// Parses the requests of one connection in turn. `socket` has to outlive it and be in non-blocking mode.
 class RequestReader {
  public:
   using Error = boost::system::error_code;
   explicit RequestReader(boost::asio::ip::tcp::socket& socket) : socket_(socket) { Restart(); }
 
-  // For the next request on the connection.
+  /// Prepares for the next request on the connection; data read beyond the last one is kept.
   void Restart();
-  // `then(error)`, never before this returns; `owner` is kept until it was called. `at_once`: it is likely
-  // there.
-  template <typename Owner, typename Then>
-  void ReadHead(Owner owner, Then then, bool at_once) {
-    Read(std::move(owner), std::move(then), at_once || buffer_.size() > 0, [this] {
+  /// Reads a head and calls `handler(error)`, never before this function returns; `keep_alive` is held until
+  /// then. `try_immediately` reads before waiting, for when the data has probably arrived.
+  template <typename KeepAlive, typename Then>
+  void ReadHead(KeepAlive keep_alive, Then handler, bool try_immediately) {
+    Read(std::move(keep_alive), std::move(handler), try_immediately || buffer_.size() > 0, [this] {
       Error ec;
       boost::beast::http::read_header(socket_, buffer_, *parser_, ec);
       return ec;
     });
   }
-  // A piece of the body: `then(error, piece)`.
-  template <typename Owner, typename Then>
-  void ReadPiece(Owner owner, Then then) {
-    // No more than the body can still have: most are far shorter than a piece.
-    const std::uint64_t left = parser_->content_length_remaining().value_or(core::kMaxPieceBytes);
-    piece_.resize(static_cast<std::size_t>(std::clamp<std::uint64_t>(left, 1, core::kMaxPieceBytes)));
+  /// Reads a piece of the body and calls `handler(error, piece)`; the piece is valid during the call only.
+  template <typename KeepAlive, typename Then>
+  void ReadBodyPiece(KeepAlive keep_alive, Then handler) {
+    // Limits the buffer to the rest of the body: most bodies are far shorter than kMaxPieceBytes.
+    const std::uint64_t remaining_bytes = parser_->content_length_remaining().value_or(core::kMaxPieceBytes);
+    piece_.resize(
+        static_cast<std::size_t>(std::clamp<std::uint64_t>(remaining_bytes, 1, core::kMaxPieceBytes)));
     parser_->get().body() = {piece_.data(), piece_.size(), true};
-    const auto told = [this, then = std::move(then)](Error ec) {
+    const auto on_read = [this, handler = std::move(handler)](Error ec) {
       const auto& body = parser_->get().body();
-      then(ec, std::string_view(piece_.data(), piece_.empty() ? 0 : piece_.size() - body.size));
+      handler(ec, std::string_view(piece_.data(), piece_.empty() ? 0 : piece_.size() - body.size));
     };
-    Read(std::move(owner), told, buffer_.size() > 0, [this] {
+    Read(std::move(keep_alive), on_read, buffer_.size() > 0, [this] {
       Error ec;
       boost::beast::http::read_some(socket_, buffer_, *parser_, ec);
       return ec == boost::beast::http::error::need_buffer ? Error() : ec;
@@ -58,71 +60,82 @@
   }
 
   const auto& head() const { return parser_->get(); }
-  bool Begun() const { return buffer_.size() > 0 || parser_->got_some(); }
+  /// True if any part of a request has been read.
+  bool HasStarted() const { return buffer_.size() > 0 || parser_->got_some(); }
+  /// True if the parser has consumed a part of the current request.
   bool got_some() const { return parser_->got_some(); }
   bool head_done() const { return parser_->is_header_done(); }
   bool done() const { return parser_->is_done(); }
+  /// The body length by Content-Length, if there is one.
   std::optional<std::uint64_t> length() const;
-  // What was read beyond the request.
+  /// Data that was read beyond the current request.
   std::string_view unread() const;
+  /// Adds data that another process read from this connection.
   void Feed(std::string_view unread);
-  // Reads what has come behind the request until there is no more, or `most` of it is held; an error says
-  // which end that is, if there is one.
-  Error ReadAhead(std::size_t most);
+  /// Reads available data behind the request until `max_bytes` are buffered (then without an error) or a read
+  /// fails. Returns that error: would_block where no more data is available, or the reason of a disconnect.
+  Error ReadAhead(std::size_t max_bytes);
 
  private:
-  // Bytes are taken off the socket in the turn that uses them: until then they lie there, where whoever would
-  // close the connection finds them. A read that had ended, and had yet to be told, would hide them.
-  template <typename Owner, typename Then, typename Some>
-  void Read(Owner owner, Then then, bool at_once, Some some) {
-    if (at_once) {
-      const Error ec = some();
+  // Waits for readiness and reads in the handler, so that data leaves the socket only when it is processed.
+  // Code that is about to close the connection checks the socket for unread data; it would miss data of an
+  // asynchronous read that has completed but whose handler has not run yet.
+  template <typename KeepAlive, typename Then, typename TryRead>
+  void Read(KeepAlive keep_alive, Then handler, bool try_immediately, TryRead try_read) {
+    if (try_immediately) {
+      const Error ec = try_read();
       if (ec != boost::asio::error::would_block) {
-        boost::asio::post(socket_.get_executor(), [owner = std::move(owner), then, ec] { then(ec); });
+        boost::asio::post(socket_.get_executor(),
+                          [keep_alive = std::move(keep_alive), handler, ec] { handler(ec); });
         return;
       }
     }
     socket_.async_wait(boost::asio::ip::tcp::socket::wait_read,
-                       [this, owner = std::move(owner), then, some](Error ec) mutable {
-                         if (!ec) ec = some();
-                         if (ec != boost::asio::error::would_block) return then(ec);
-                         Read(std::move(owner), std::move(then), false, std::move(some));
+                       [this, keep_alive = std::move(keep_alive), handler, try_read](Error ec) mutable {
+                         if (!ec) ec = try_read();
+                         if (ec != boost::asio::error::would_block) return handler(ec);
+                         Read(std::move(keep_alive), std::move(handler), false, std::move(try_read));
                        });
   }
 
   boost::asio::ip::tcp::socket& socket_;
-  boost::beast::flat_buffer buffer_{kMostReadBuffer};
+  boost::beast::flat_buffer buffer_{kMaxReadBufferBytes};
   std::optional<boost::beast::http::request_parser<boost::beast::http::buffer_body>> parser_;
   std::string piece_;
 };
 
-// A message that breaks HTTP, as opposed to a connection that ended.
+/// True if the error is a malformed HTTP message, false if it is a failed or closed connection.
 bool IsMalformed(boost::system::error_code ec);
+/// The error page for a malformed message: 413, 431 or 400.
 Page MalformedPage(boost::system::error_code ec);
 
-// The rest of a request's long body, for whoever passes it on. It outlives its connection's part in it.
+/// The part of a long request body that is still to be received; the request's handler reads it from here. It
+/// may outlive the client connection.
 class Upload : public core::BodySource {
  public:
-  // `asked` has the connection read a piece, which it gives.
-  Upload(boost::asio::io_context& io, std::optional<std::uint64_t> size, std::function<void()> asked)
-      : io_(io), size_(size), asked_(std::move(asked)) {}
+  /// `on_data_requested` makes the connection read a piece, which it passes to Deliver().
+  Upload(boost::asio::io_context& io, std::optional<std::uint64_t> size,
+         std::function<void()> on_data_requested)
+      : io_(io), size_(size), on_data_requested_(std::move(on_data_requested)) {}
 
-  void RequestData(DataCallback take) override;
+  void RequestData(DataCallback callback) override;
   void Cancel() override {}
   std::optional<std::uint64_t> length() const override { return size_; }
-  bool data_requested() const override { return begun_; }
+  bool data_requested() const override { return data_requested_; }
 
-  bool waiting() const { return take_ != nullptr; }
-  void Give(Status next, std::string_view piece);
-  // The connection has no more part in it.
+  bool is_waiting() const { return callback_ != nullptr; }
+  /// Passes a piece, or the end of the body, to the pending RequestData() callback, if there is one.
+  void Deliver(Status status, std::string_view piece);
+  /// Disconnects this from the client connection: a pending request for data, and each later one, gets
+  /// kBroken.
   void Detach();
 
  private:
   boost::asio::io_context& io_;
   const std::optional<std::uint64_t> size_;
-  std::function<void()> asked_;
-  DataCallback take_;
-  bool begun_ = false;
+  std::function<void()> on_data_requested_;
+  DataCallback callback_;
+  bool data_requested_ = false;
 };
 
 }  // namespace meadowyard
--- a/src/fronts/http/request_rules.cpp
+++ b/src/fronts/http/request_rules.cpp
@@ -13,52 +13,59 @@
 
 namespace http = boost::beast::http;
 
-constexpr Millis kMostAllowed = 600000;  // longer deadlines are cut to this: timers must not overflow
-constexpr std::size_t kMostId = 256;
+// Longer client timeouts are reduced to this, because timers must not overflow.
+constexpr Millis kMaxClientTimeout = 600000;
+constexpr std::size_t kMaxRequestIdBytes = 256;
 
-// "480m" or "480000u": milliseconds.
+// Converts "480m" (milliseconds) or "480000u" (microseconds) to milliseconds.
 std::optional<Millis> ParseDeadline(std::string_view text) {
   if (text.size() < 2) return std::nullopt;
-  const double unit = text.back() == 'm' ? 1 : text.back() == 'u' ? 0.001 : 0;
+  const double milliseconds_per_unit = text.back() == 'm' ? 1 : text.back() == 'u' ? 0.001 : 0;
   double value = 0;
-  const char* const last = text.data() + text.size() - 1;
-  const auto [end, error] = std::from_chars(text.data(), last, value, std::chars_format::fixed);
-  if (unit == 0 || error != std::errc() || end != last) return std::nullopt;
+  const char* const number_end = text.data() + text.size() - 1;
+  const auto [end, error] = std::from_chars(text.data(), number_end, value, std::chars_format::fixed);
+  if (milliseconds_per_unit == 0 || error != std::errc() || end != number_end) return std::nullopt;
   if (!std::isfinite(value) || value < 0) return std::nullopt;
-  return std::min(value * unit, kMostAllowed);
+  return std::min(value * milliseconds_per_unit, kMaxClientTimeout);
 }
 
-// The fields that decide what a request becomes, found in one pass over the head: most heads are short, but
-// there are many of them.
-struct Named {
+// Values of the fields that the gateway interprets. They are collected in one pass over the head, because
+// heads are short but this runs for every request.
+struct RequestFields {
   std::string_view id, kind, owner, key, deadline, retry, cost, extra, idempotency, host;
   const char* repeated = nullptr;
 };
 
-Named ReadNamed(const RequestHead& head) {
-  Named named;
-  const std::pair<std::string_view, std::string_view Named::*> all[] = {
-      {"Req-Id", &Named::id},     {"Req-Kind", &Named::kind},   {"Req-Owner", &Named::owner},
-      {"Req-Key", &Named::key},   {"Req-Retry", &Named::retry}, {"Req-Deadline", &Named::deadline},
-      {"Req-Cost", &Named::cost}, {"Req-Extra", &Named::extra}, {"Idempotency-Key", &Named::idempotency},
-      {"Host", &Named::host},
+RequestFields CollectRequestFields(const RequestHead& head) {
+  RequestFields values;
+  const std::pair<std::string_view, std::string_view RequestFields::*> known_fields[] = {
+      {"Req-Id", &RequestFields::id},
+      {"Req-Kind", &RequestFields::kind},
+      {"Req-Owner", &RequestFields::owner},
+      {"Req-Key", &RequestFields::key},
+      {"Req-Retry", &RequestFields::retry},
+      {"Req-Deadline", &RequestFields::deadline},
+      {"Req-Cost", &RequestFields::cost},
+      {"Req-Extra", &RequestFields::extra},
+      {"Idempotency-Key", &RequestFields::idempotency},
+      {"Host", &RequestFields::host},
   };
-  unsigned seen = 0;
+  unsigned seen_mask = 0;
   for (const auto& field : head) {
     const std::string_view name = View(field.name_string());
-    for (std::size_t i = 0; i < std::size(all); ++i) {
-      if (!core::EqualFieldNames(name, all[i].first)) continue;
-      if (seen & (1u << i)) named.repeated = all[i].first.data();
-      seen |= 1u << i;
-      named.*all[i].second = View(field.value());
+    for (std::size_t i = 0; i < std::size(known_fields); ++i) {
+      if (!core::EqualFieldNames(name, known_fields[i].first)) continue;
+      if (seen_mask & (1u << i)) values.repeated = known_fields[i].first.data();
+      seen_mask |= 1u << i;
+      values.*known_fields[i].second = View(field.value());
     }
   }
-  return named;
+  return values;
 }
 
 }  // namespace
 
-Page FaultPage(int status, std::string text) {
+Page ErrorPage(int status, std::string text) {
   Page page;
   page.status = status;
   page.fields.Add("Content-Type", "text/plain");
@@ -68,7 +75,7 @@
   return page;
 }
 
-Page PageOf(core::Answer& answer) {
+Page ToPage(core::Answer& answer) {
   Page page;
   switch (answer.kind) {
     case core::Answer::Kind::kServed:
@@ -94,8 +101,8 @@
   return page;
 }
 
-std::string HeadText(const Page& page, unsigned version, bool keep_alive, std::optional<std::uint64_t> length,
-                     bool chunked) {
+std::string FormatHead(const Page& page, unsigned version, bool keep_alive,
+                       std::optional<std::uint64_t> length, bool chunked) {
   std::string text = version >= 11 ? "HTTP/1.1 " : "HTTP/1.0 ";
   text.reserve(256 + page.body.size());
   text += std::to_string(page.status);
@@ -110,38 +117,40 @@
   return text += "\r\n";
 }
 
-std::optional<Page> Check(const RequestHead& head, const Admits& admits, core::ClientRequest& request) {
+std::optional<Page> ParseRequestHead(const RequestHead& head, const AdmissionCheck& check_admission,
+                                     core::ClientRequest& request) {
   const std::string_view target = View(head.target());
   const std::string_view path = target.substr(0, target.find('?'));
-  if (path != "/api" && !path.starts_with("/api/")) return FaultPage(404, "no such path");
-  const Named named = ReadNamed(head);
-  // Of two fields with one name, this gateway and a host might each believe another.
-  if (named.repeated != nullptr) return FaultPage(400, std::string(named.repeated) + " is repeated");
-  request.id = named.id;
-  if (request.id.empty() || request.id.size() > kMostId)
-    return FaultPage(400, "Req-Id is missing or too long");
-  request.class_name = named.kind;
-  const auto allowed = ParseDeadline(named.deadline);
-  if (!allowed) return FaultPage(400, "Req-Deadline is missing or malformed");
-  request.client_timeout = *allowed;
-  // A repeat of a request that is not safe must be possible to tell from its class and method alike.
-  const bool get = head.method() == http::verb::get;
-  const bool keyed = !named.idempotency.empty();
-  request.idempotency = get     ? Idempotency::kIdempotent
-                        : keyed ? Idempotency::kIdempotencyKey
-                                : Idempotency::kNonIdempotent;
-  const auto admission = admits(request.class_name, request.idempotency);
-  if (admission == Policy::Admission::kUnknownClass) return FaultPage(400, "Req-Kind names no class");
-  if (!get && head.method() != http::verb::post) return FaultPage(405, "the class takes another method");
+  if (path != "/api" && !path.starts_with("/api/")) return ErrorPage(404, "no such path");
+  const RequestFields values = CollectRequestFields(head);
+  // If a field is repeated, this gateway and a host might each use a different one of the values.
+  if (values.repeated != nullptr) return ErrorPage(400, std::string(values.repeated) + " is repeated");
+  request.id = values.id;
+  if (request.id.empty() || request.id.size() > kMaxRequestIdBytes)
+    return ErrorPage(400, "Req-Id is missing or too long");
+  request.class_name = values.kind;
+  const auto client_timeout_ms = ParseDeadline(values.deadline);
+  if (!client_timeout_ms) return ErrorPage(400, "Req-Deadline is missing or malformed");
+  request.client_timeout = *client_timeout_ms;
+  // Method and Idempotency-Key determine whether a request may be repeated safely; its class has to declare
+  // the same, so that either of them is enough to tell.
+  const bool is_get = head.method() == http::verb::get;
+  const bool has_key = !values.idempotency.empty();
+  request.idempotency = is_get    ? Idempotency::kIdempotent
+                        : has_key ? Idempotency::kIdempotencyKey
+                                  : Idempotency::kNonIdempotent;
+  const auto admission = check_admission(request.class_name, request.idempotency);
+  if (admission == Policy::Admission::kUnknownClass) return ErrorPage(400, "Req-Kind names no class");
+  if (!is_get && head.method() != http::verb::post) return ErrorPage(405, "the class takes another method");
   if (admission == Policy::Admission::kIdempotencyMismatch) {
-    const bool lacks_key =
-        !get && admits(request.class_name, Idempotency::kIdempotencyKey) == Policy::Admission::kAccepted;
-    return lacks_key ? FaultPage(400, "Idempotency-Key is missing")
-                     : FaultPage(405, "the class takes another method");
+    const bool key_missing = !is_get && check_admission(request.class_name, Idempotency::kIdempotencyKey) ==
+                                            Policy::Admission::kAccepted;
+    return key_missing ? ErrorPage(400, "Idempotency-Key is missing")
+                       : ErrorPage(405, "the class takes another method");
   }
-  request.tenant = named.owner;
-  request.is_retry = named.retry == "1";
-  request.key = named.key;
+  request.tenant = values.owner;
+  request.is_retry = values.retry == "1";
+  request.key = values.key;
   request.message.method = View(head.method_string());
   request.message.target = target;
   request.message.fields = EndToEnd(head);
--- a/src/fronts/http/request_rules.hpp
+++ b/src/fronts/http/request_rules.hpp
@@ -1,4 +1,4 @@
-// What a client's request must say, and what it becomes.
+/// @file Validates the heads of client requests and converts requests and answers between HTTP and the core.
 #ifndef MEADOWYARD_FRONTS_HTTP_REQUEST_RULES_HPP_
 #define MEADOWYARD_FRONTS_HTTP_REQUEST_RULES_HPP_
 
@@ -13,26 +13,30 @@
 
 namespace meadowyard {
 
-// What this side answers by itself.
+/// A response to a client, without the part of the body that is streamed.
 struct Page {
   int status = 200;
   core::Fields fields;
   std::string body;
-  bool close = false;  // the connection ends after it
+  bool close = false;  // close the connection after this response
 };
-Page FaultPage(int status, std::string text);
-// The core's answer in HTTP: 200, or 503, 502, 504 and 409 for what was refused, failed, overdue or in use.
-Page PageOf(core::Answer& answer);
-
-// Status line and fields; `length` is that of the body, nothing for one in chunks or up to the close.
-std::string HeadText(const Page& page, unsigned version, bool keep_alive, std::optional<std::uint64_t> length,
-                     bool chunked);
-
-using Admits = std::function<Policy::Admission(const std::string& class_name, Idempotency effect)>;
+/// A text/plain error response that closes the connection.
+Page ErrorPage(int status, std::string text);
+/// Converts an answer of the core: 200 served, 503 rejected, 502 failed, 504 timed out, 409 request id in
+/// use. Moves fields and body out of `answer`.
+Page ToPage(core::Answer& answer);
+
+/// Formats the status line and the fields. `length` is the body length; none for a body that is chunked or
+/// ends with the connection.
+std::string FormatHead(const Page& page, unsigned version, bool keep_alive,
+                       std::optional<std::uint64_t> length, bool chunked);
+
+using AdmissionCheck = std::function<Policy::Admission(const std::string& class_name, Idempotency effect)>;
 using RequestHead = boost::beast::http::request_header<>;
 
-// Fills in what `head` says of `request`, or gives the page for whoever sent what can't be taken.
-std::optional<Page> Check(const RequestHead& head, const Admits& admits, core::ClientRequest& request);
+/// Validates `head` and fills in `request` from it; returns the error page if the request is not acceptable.
+std::optional<Page> ParseRequestHead(const RequestHead& head, const AdmissionCheck& check_admission,
+                                     core::ClientRequest& request);
 
 }  // namespace meadowyard
 
--- a/src/fronts/http/session.cpp
+++ b/src/fronts/http/session.cpp
@@ -12,24 +12,25 @@
 namespace http = boost::beast::http;
 using tcp = asio::ip::tcp;
 
-constexpr std::size_t kMostDiscarded = 256 * 1024;  // read from a client that was told of the close
+constexpr std::size_t kMaxLingeringBytes = 256 * 1024;  // discarded in a lingering close
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
 }  // namespace
 
-ClientServer::Session::Session(ClientServer& server, tcp::socket socket, Millis after)
+ClientServer::Session::Session(ClientServer& server, tcp::socket socket, Millis first_request_sent_after)
     : server_(server),
       socket_(std::move(socket)),
       reader_(socket_),
       writer_(
-          socket_, [this] { return shared_from_this(); }, [this](AnswerWriter::End end) { Written(end); }),
-      after_(after),
-      leaving_(server.io_, socket_, reader_,
-               {[this] { return shared_from_this(); },
-                [this] {
-                  if (came_at_ == 0) came_at_ = core::Now();
-                },
-                [this] { Left(); }}) {}
+          socket_, [this] { return shared_from_this(); },
+          [this](AnswerWriter::End end) { OnAnswerWritten(end); }),
+      first_request_sent_after_(first_request_sent_after),
+      leave_watch_(server.io_, socket_, reader_,
+                   {[this] { return shared_from_this(); },
+                    [this] {
+                      if (next_request_seen_at_ == 0) next_request_seen_at_ = core::Now();
+                    },
+                    [this] { OnClientDisconnected(); }}) {}
 
 void ClientServer::Session::Begin() {
   Error ignored;
@@ -38,307 +39,326 @@
   ReadHead();
 }
 
-void ClientServer::Session::Adopted(std::string_view unread) {
-  answered_ = 1;
+void ClientServer::Session::StartAdopted(std::string_view unread) {
+  answers_sent_ = 1;
   reader_.Feed(unread);
   Begin();
 }
 
-void ClientServer::Session::Yield() {
+void ClientServer::Session::RequestHandover() {
   Error ignored;
-  if (phase_ == Phase::kReading && !in_body_) socket_.cancel(ignored);
+  if (phase_ == Phase::kReadingRequest && !is_reading_body_) socket_.cancel(ignored);
 }
 
-bool ClientServer::Session::Idle() {
+bool ClientServer::Session::IsIdle() {
   Error ec;
-  return phase_ == Phase::kReading && !reader_.Begun() && socket_.available(ec) == 0;
+  return phase_ == Phase::kReadingRequest && !reader_.HasStarted() && socket_.available(ec) == 0;
 }
 
-bool ClientServer::Session::Arrived(Millis now) const {
-  return answered_ == 0 || now - since_ >= server_.limits_.answer_delivery_time;
+bool ClientServer::Session::IsAnswerDelivered(Millis now) const {
+  return answers_sent_ == 0 || now - phase_started_at_ >= server_.limits_.answer_delivery_time;
 }
 
-ClientServer::Standing ClientServer::Session::standing(Millis now) const {
-  if (phase_ == Phase::kLingering) return Standing::kTold;
-  const bool whole = in_body_ ? reader_.done() : reader_.head_done();  // about to be told
-  if (phase_ != Phase::kReading || whole || (reader_.Begun() && answered_ > 0)) return Standing::kKept;
-  if (answered_ > 0) return Standing::kBetween;
-  if (now - since_ < server_.limits_.first_request_grace) return Standing::kNew;
-  return reader_.Begun() ? Standing::kHalfRequest : Standing::kSilent;
+ClientServer::EvictionRank ClientServer::Session::eviction_rank(Millis now) const {
+  if (phase_ == Phase::kLingering) return EvictionRank::kLingeringClose;
+  // A received request or head is about to be processed: its handler has not run yet.
+  const bool received = is_reading_body_ ? reader_.done() : reader_.head_done();
+  if (phase_ != Phase::kReadingRequest || received || (reader_.HasStarted() && answers_sent_ > 0))
+    return EvictionRank::kNotEvictable;
+  if (answers_sent_ > 0) return EvictionRank::kIdlePersistent;
+  if (now - phase_started_at_ < server_.limits_.first_request_grace) return EvictionRank::kNewConnection;
+  return reader_.HasStarted() ? EvictionRank::kPartialRequest : EvictionRank::kNothingReceived;
 }
 
-bool ClientServer::Session::MayEvict() {
+bool ClientServer::Session::IsSafeToEvict() {
   Error ec;
-  return phase_ == Phase::kLingering || (phase_ == Phase::kReading && socket_.available(ec) == 0);
+  return phase_ == Phase::kLingering || (phase_ == Phase::kReadingRequest && socket_.available(ec) == 0);
 }
 
 void ClientServer::Session::Close() {
   if (std::exchange(phase_, Phase::kClosed) == Phase::kClosed) return;
   Error ignored;
   socket_.close(ignored);
-  leaving_.End();
-  Release();
+  leave_watch_.End();
+  ReleaseReservedBody();
   const auto self = shared_from_this();
-  server_.Closed(self);
-  DropUpload();
+  server_.RemoveSession(self);
+  DetachUpload();
   writer_.Stop();
 }
 
 void ClientServer::Session::Sweep(Millis now) {
   const ClientLimits& limits = server_.limits_;
-  if (phase_ == Phase::kReading) {
-    if (reader_.Begun() && begun_at_ == 0) begun_at_ = answered_ == 0 ? since_ : now;
-    const bool stalled =
-        in_body_ ? now - came_on_ > limits.body_idle_timeout || now - body_at_ > limits.buffered_body_timeout
-                 : begun_at_ > 0 && now - begun_at_ > limits.request_head_timeout;
-    if (stalled) return Send(FaultPage(408, "the request is not whole"));
-    const Millis most = server_.draining_ ? 0 : answered_ == 0 ? limits.first_request_timeout : limits.idle;
-    if (now - since_ > most && Rested(now)) Close();
-  } else if (phase_ == Phase::kWaiting && upload_ && upload_->waiting() &&
-             now - came_on_ > limits.body_idle_timeout) {
-    Broken(FaultPage(408, "the request is not whole"));
-  } else if (phase_ == Phase::kWriting && writer_.streams()) {
-    if (writer_.writing() && now - writer_.came_on() > limits.stream_idle_timeout) Close();
-  } else if ((phase_ == Phase::kWriting && now - since_ > limits.answer_write_timeout) ||
-             (phase_ == Phase::kLingering && now - since_ > limits.lingering_close_timeout)) {
+  if (phase_ == Phase::kReadingRequest) {
+    if (reader_.HasStarted() && request_started_at_ == 0)
+      request_started_at_ = answers_sent_ == 0 ? phase_started_at_ : now;
+    const bool timed_out =
+        is_reading_body_ ? now - body_progress_at_ > limits.body_idle_timeout ||
+                               now - body_started_at_ > limits.buffered_body_timeout
+                         : request_started_at_ > 0 && now - request_started_at_ > limits.request_head_timeout;
+    if (timed_out) return SendPage(ErrorPage(408, "the request is not whole"));
+    const Millis timeout = server_.draining_    ? 0
+                           : answers_sent_ == 0 ? limits.first_request_timeout
+                                                : limits.idle;
+    if (now - phase_started_at_ > timeout && CanCloseIdle(now)) Close();
+  } else if (phase_ == Phase::kAwaitingAnswer && upload_ && upload_->is_waiting() &&
+             now - body_progress_at_ > limits.body_idle_timeout) {
+    RejectIncompleteRequest(ErrorPage(408, "the request is not whole"));
+  } else if (phase_ == Phase::kWritingAnswer && writer_.is_streaming()) {
+    if (writer_.writing() && now - writer_.last_progress_at() > limits.stream_idle_timeout) Close();
+  } else if ((phase_ == Phase::kWritingAnswer && now - phase_started_at_ > limits.answer_write_timeout) ||
+             (phase_ == Phase::kLingering && now - phase_started_at_ > limits.lingering_close_timeout)) {
     Close();
   }
 }
 
-void ClientServer::Session::Enter(Phase phase) {
+void ClientServer::Session::EnterPhase(Phase phase) {
   phase_ = phase;
-  leaving_.End();
-  in_body_ = false;
-  since_ = came_on_ = core::Now();
-  begun_at_ = 0;
+  leave_watch_.End();
+  is_reading_body_ = false;
+  phase_started_at_ = body_progress_at_ = core::Now();
+  request_started_at_ = 0;
 }
 
-// When the request that was just read may have been there at the earliest: it waits in the kernel for a
-// place, and for a loop that is behind.
-Millis ClientServer::Session::CameAfter() const {
-  const Millis looked = server_.LookedAt();
-  return looked > since_ ? looked : answered_ == 0 ? after_ : since_;
+// The earliest time at which the client may have sent the request that was just read. It may have waited in
+// the kernel's accept queue for a free session, or in the socket while the event loop was delayed.
+Millis ClientServer::Session::EarliestSentAt() const {
+  const Millis last_check = server_.LastSocketCheck();
+  return last_check > phase_started_at_ ? last_check
+         : answers_sent_ == 0           ? first_request_sent_after_
+                                        : phase_started_at_;
 }
 
 void ClientServer::Session::ReadHead() {
-  const auto read = [this](Error ec) {
-    if (phase_ == Phase::kReading) HeadRead(ec);
+  const auto on_head_read = [this](Error ec) {
+    if (phase_ == Phase::kReadingRequest) OnHeadRead(ec);
   };
-  reader_.ReadHead(shared_from_this(), read, /*at_once=*/answered_ == 0);
+  reader_.ReadHead(shared_from_this(), on_head_read, /*try_immediately=*/answers_sent_ == 0);
 }
 
-bool ClientServer::Session::HandedOver() {
-  if (!server_.pass_ || !server_.pass_(socket_.native_handle(), reader_.unread())) return false;
+bool ClientServer::Session::TryHandOver() {
+  if (!server_.hand_over_ || !server_.hand_over_(socket_.native_handle(), reader_.unread())) return false;
   Close();
   return true;
 }
 
-void ClientServer::Session::HeadRead(Error ec) {
+void ClientServer::Session::OnHeadRead(Error ec) {
   if (ec == asio::error::operation_aborted) {
-    // A head that the parser has begun can't be passed on: its request is served here.
-    if (reader_.got_some() || !HandedOver()) ReadHead();
+    // A partially parsed head can't be handed over: its request is served here.
+    if (reader_.got_some() || !TryHandOver()) ReadHead();
     return;
   }
-  if (ec) return Unreadable(ec);
+  if (ec) return OnReadError(ec);
   if (FramingOf(reader_.head()) == Framing::kAmbiguous) {
-    return Send(FaultPage(400, "where the body ends is not clear"));
+    return SendPage(ErrorPage(400, "where the body ends is not clear"));
   }
-  if (reader_.done()) return Take();
-  if (!server_.Reserve(std::min(reader_.length().value_or(kMostBody), kMostBody), reserved_)) {
-    return Send(FaultPage(503, "no memory for the body"));
+  if (reader_.done()) return DispatchRequest();
+  if (!server_.Reserve(std::min(reader_.length().value_or(kMostBody), kMostBody), reserved_body_bytes_)) {
+    return SendPage(ErrorPage(503, "no memory for the body"));
   }
-  in_body_ = true;
-  came_on_ = body_at_ = core::Now();
+  is_reading_body_ = true;
+  body_progress_at_ = body_started_at_ = core::Now();
   if (!boost::beast::iequals(reader_.head()[http::field::expect], "100-continue")) return ReadBody();
   asio::async_write(socket_, asio::buffer(kContinue),
                     [this, self = shared_from_this()](Error write_ec, std::size_t) {
-                      if (phase_ != Phase::kReading) return;
+                      if (phase_ != Phase::kReadingRequest) return;
                       write_ec ? Close() : ReadBody();
                     });
 }
 
-// What is short is read whole; a long body comes on once its host is found.
+// A short body is read completely before its request is dispatched; the rest of a long body is read once a
+// host has been chosen.
 void ClientServer::Session::ReadBody() {
-  reader_.ReadPiece(shared_from_this(), [this, turn = turn_](Error ec, std::string_view piece) {
-    if (phase_ != Phase::kReading || turn_ != turn) return;
-    came_on_ = core::Now();
-    if (ec) return Unreadable(ec);
-    body_.append(piece);
-    reader_.done() || body_.size() > kMostBody ? Take() : ReadBody();
-  });
+  reader_.ReadBodyPiece(
+      shared_from_this(), [this, generation = generation_](Error ec, std::string_view piece) {
+        if (phase_ != Phase::kReadingRequest || generation_ != generation) return;
+        body_progress_at_ = core::Now();
+        if (ec) return OnReadError(ec);
+        buffered_body_.append(piece);
+        reader_.done() || buffered_body_.size() > kMostBody ? DispatchRequest() : ReadBody();
+      });
 }
 
-void ClientServer::Session::Unreadable(Error ec) { IsMalformed(ec) ? Send(MalformedPage(ec)) : Close(); }
+void ClientServer::Session::OnReadError(Error ec) { IsMalformed(ec) ? SendPage(MalformedPage(ec)) : Close(); }
 
-void ClientServer::Session::Take() {
+void ClientServer::Session::DispatchRequest() {
   const auto& head = reader_.head();
   keep_alive_ = head.keep_alive();
   version_ = head.version();
-  const Millis at = std::exchange(came_at_, 0);
+  const Millis seen_at = std::exchange(next_request_seen_at_, 0);
   if (head.target() == "/up" && head.method() == http::verb::get) {
     Page page;
-    page.status = server_.handlers_.ready() ? 200 : 503;
-    return Send(std::move(page));
+    page.status = server_.handlers_.is_ready() ? 200 : 503;
+    return SendPage(std::move(page));
   }
-  if (!server_.handlers_.room()) return Send(FaultPage(503, "no memory for a request"));
+  if (!server_.handlers_.has_memory()) return SendPage(ErrorPage(503, "no memory for a request"));
   core::ClientRequest request;
-  if (auto fault = Check(head, server_.handlers_.admits, request)) return Send(std::move(*fault));
-  request.message.body = std::exchange(body_, {});
-  request.received_at = at > 0 ? at : core::Now();
-  request.earliest_sent_at = at > 0 ? at : CameAfter();
-  request.on_answer = [weak = weak_from_this(), turn = ++turn_](core::Answer answer) {
+  if (auto fault = ParseRequestHead(head, server_.handlers_.check_admission, request))
+    return SendPage(std::move(*fault));
+  request.message.body = std::exchange(buffered_body_, {});
+  request.received_at = seen_at > 0 ? seen_at : core::Now();
+  request.earliest_sent_at = seen_at > 0 ? seen_at : EarliestSentAt();
+  request.on_answer = [weak = weak_from_this(), generation = ++generation_](core::Answer answer) {
     const auto self = weak.lock();
-    if (self && self->turn_ == turn && self->phase_ == Phase::kWaiting) return self->Reply(std::move(answer));
+    if (self && self->generation_ == generation && self->phase_ == Phase::kAwaitingAnswer)
+      return self->SendAnswer(std::move(answer));
     if (!answer.body_source) return;
     answer.body_source->Cancel();
     answer.on_delivered(false);
   };
-  request.has_disconnected = [weak = weak_from_this(), turn = turn_] {
+  request.has_disconnected = [weak = weak_from_this(), generation = generation_] {
     const auto self = weak.lock();
-    return !self || self->turn_ != turn || self->phase_ != Phase::kWaiting ||
-           HasEnded(self->socket_.native_handle());
+    return !self || self->generation_ != generation || self->phase_ != Phase::kAwaitingAnswer ||
+           IsClosedByPeer(self->socket_.native_handle());
   };
   id_ = request.id;
-  Enter(Phase::kWaiting);
+  EnterPhase(Phase::kAwaitingAnswer);
   if (!reader_.done()) {
     upload_ = std::make_shared<Upload>(server_.io_, reader_.length(), [weak = weak_from_this()] {
-      if (const auto self = weak.lock()) self->ReadOn();
+      if (const auto self = weak.lock()) self->ReadUploadPiece();
     });
     request.body_source = upload_;
   }
-  leaving_.Begin(/*reads=*/upload_ == nullptr);
-  server_.handlers_.taken(std::move(request));
+  leave_watch_.Begin(/*read_ahead=*/upload_ == nullptr);
+  server_.handlers_.on_request(std::move(request));
 }
 
-void ClientServer::Session::ReadOn() {
-  came_on_ = core::Now();
-  if (reader_.done()) {  // its last piece was the one before
-    asio::post(server_.io_, [this, self = shared_from_this()] { Whole(); });
+void ClientServer::Session::ReadUploadPiece() {
+  body_progress_at_ = core::Now();
+  if (reader_.done()) {  // the previous piece was the last one
+    asio::post(server_.io_, [this, self = shared_from_this()] { OnUploadComplete(); });
     return;
   }
-  reader_.ReadPiece(shared_from_this(), [this, turn = turn_](Error ec, std::string_view piece) {
-    if (phase_ == Phase::kClosed || turn_ != turn || !upload_ || !upload_->waiting()) return;
-    came_on_ = core::Now();
-    if (ec) return Spoilt(ec);
-    if (piece.empty() && reader_.done()) return Whole();
-    const auto upload = upload_;  // whoever is given a piece may end the request
-    upload->Give(core::BodySource::Status::kData, piece);
-  });
+  reader_.ReadBodyPiece(
+      shared_from_this(), [this, generation = generation_](Error ec, std::string_view piece) {
+        if (phase_ == Phase::kClosed || generation_ != generation || !upload_ || !upload_->is_waiting())
+          return;
+        body_progress_at_ = core::Now();
+        if (ec) return OnUploadError(ec);
+        if (piece.empty() && reader_.done()) return OnUploadComplete();
+        const auto upload = upload_;  // keeps it alive: its receiver may end the request
+        upload->Deliver(core::BodySource::Status::kData, piece);
+      });
 }
 
-void ClientServer::Session::Whole() {
-  if (phase_ != Phase::kWaiting || !upload_ || !upload_->waiting()) return;
+void ClientServer::Session::OnUploadComplete() {
+  if (phase_ != Phase::kAwaitingAnswer || !upload_ || !upload_->is_waiting()) return;
   const auto upload = std::exchange(upload_, nullptr);
-  leaving_.Begin(/*reads=*/true);
-  server_.handlers_.whole(id_);
-  upload->Give(core::BodySource::Status::kComplete, {});
+  leave_watch_.Begin(/*read_ahead=*/true);
+  server_.handlers_.on_body_complete(id_);
+  upload->Deliver(core::BodySource::Status::kComplete, {});
   upload->Detach();
 }
 
-void ClientServer::Session::Spoilt(Error ec) { IsMalformed(ec) ? Broken(MalformedPage(ec)) : Left(); }
+void ClientServer::Session::OnUploadError(Error ec) {
+  IsMalformed(ec) ? RejectIncompleteRequest(MalformedPage(ec)) : OnClientDisconnected();
+}
 
-void ClientServer::Session::Broken(Page page) {
+void ClientServer::Session::RejectIncompleteRequest(Page page) {
   const std::string id = id_;
-  ++turn_;
-  Send(std::move(page));
-  server_.handlers_.gone(id);
+  ++generation_;
+  SendPage(std::move(page));
+  server_.handlers_.on_client_left(id);
 }
 
-void ClientServer::Session::DropUpload() {
+void ClientServer::Session::DetachUpload() {
   if (const auto upload = std::exchange(upload_, nullptr)) upload->Detach();
 }
 
-// The connection is forgotten first: whoever is told may look for it.
-void ClientServer::Session::Left() {
+// Closes the session first, because the handler may look at the sessions of the server.
+void ClientServer::Session::OnClientDisconnected() {
   Close();
-  server_.handlers_.gone(id_);
+  server_.handlers_.on_client_left(id_);
 }
 
-// While the host keeps the rest of a long answer back nothing is written, and so no write finds the client
-// gone.
+// Detects a reset by the client while the host delays the rest of a long answer: nothing is written then, so
+// no write can fail.
 void ClientServer::Session::WatchForReset() {
-  if (std::exchange(watched_, true)) return;
+  if (std::exchange(is_watching_for_reset_, true)) return;
   socket_.async_wait(tcp::socket::wait_error, [this, self = shared_from_this()](Error ec) {
-    watched_ = false;
+    is_watching_for_reset_ = false;
     int error = 0;
     socklen_t size = sizeof error;
-    if (ec || phase_ != Phase::kWriting) return;
+    if (ec || phase_ != Phase::kWritingAnswer) return;
     ::getsockopt(socket_.native_handle(), SOL_SOCKET, SO_ERROR, &error, &size);
     if (error != 0) Close();
   });
 }
 
-void ClientServer::Session::Reply(core::Answer answer) {
-  Page page = PageOf(answer);
-  Send(std::move(page), answer.body_source ? &answer : nullptr);
+void ClientServer::Session::SendAnswer(core::Answer answer) {
+  Page page = ToPage(answer);
+  SendPage(std::move(page), answer.body_source ? &answer : nullptr);
 }
 
-void ClientServer::Session::Send(Page page, core::Answer* stream) {
-  Enter(Phase::kWriting);
-  Release();
-  // The client has more to send than anyone wants: it is read off after the answer.
+void ClientServer::Session::SendPage(Page page, core::Answer* stream) {
+  EnterPhase(Phase::kWritingAnswer);
+  ReleaseReservedBody();
+  // The client is still sending a body that is no longer needed: it is discarded after the answer.
   const bool unread = upload_ != nullptr || (reader_.head_done() && !reader_.done());
-  discard_ = unread ? core::kMaxBodyBytes : kMostDiscarded;
+  max_discarded_bytes_ = unread ? core::kMaxBodyBytes : kMaxLingeringBytes;
   if (unread) keep_alive_ = false;
-  DropUpload();
-  // In a drain, or with clients waiting for a place, the connection ends here: but not on a request that
-  // has been taken in already.
+  DetachUpload();
+  // During a drain, or while clients wait in the accept queue, the connection is closed after this answer,
+  // unless data of a further request has already arrived.
   Error ec;
-  const auto ends_here = [&] {
-    return (server_.draining_ || server_.Waiting()) && reader_.unread().empty() && socket_.available(ec) == 0;
+  const auto closes_after_answer = [&] {
+    return (server_.draining_ || server_.HasQueuedClients()) && reader_.unread().empty() &&
+           socket_.available(ec) == 0;
   };
-  keep_alive_ = keep_alive_ && !page.close && !ends_here();
+  keep_alive_ = keep_alive_ && !page.close && !closes_after_answer();
   if (stream == nullptr) {
-    return writer_.WriteWhole(HeadText(page, version_, keep_alive_, page.body.size(), false) + page.body);
+    return writer_.WriteComplete(FormatHead(page, version_, keep_alive_, page.body.size(), false) +
+                                 page.body);
   }
-  // A client of HTTP/1.0 knows no chunks: there the close is the end.
+  // HTTP/1.0 has no chunked transfer coding: there the close of the connection delimits the body.
   const auto length = stream->body_source->length();
   const bool chunked = !length && version_ >= 11;
   if (!length && !chunked) keep_alive_ = false;
   WatchForReset();
   writer_.WriteStream(
-      HeadText(page, version_, keep_alive_, length, chunked) + core::EncodeBodyData(page.body, chunked),
+      FormatHead(page, version_, keep_alive_, length, chunked) + core::EncodeBodyData(page.body, chunked),
       std::move(stream->body_source), chunked, std::move(stream->on_delivered));
 }
 
-void ClientServer::Session::Written(AnswerWriter::End end) {
-  if (phase_ != Phase::kWriting) return;
-  if (end == AnswerWriter::End::kCut) {
+void ClientServer::Session::OnAnswerWritten(AnswerWriter::End end) {
+  if (phase_ != Phase::kWritingAnswer) return;
+  if (end == AnswerWriter::End::kTruncated) {
     Error ignored;
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
   }
   if (end != AnswerWriter::End::kWritten) return Close();
-  if (!keep_alive_) return Linger();
-  ++answered_;
-  Enter(Phase::kReading);
-  body_.clear();
+  if (!keep_alive_) return StartLingeringClose();
+  ++answers_sent_;
+  EnterPhase(Phase::kReadingRequest);
+  buffered_body_.clear();
   reader_.Restart();
-  if (HandedOver()) return;
+  if (TryHandOver()) return;
   ReadHead();
-  while (server_.Crowded() && server_.Evict(/*idle_only=*/true)) {
+  while (server_.IsAboveEvictionThreshold() && server_.Evict(/*idle_only=*/true)) {
   }
 }
 
-// Closing with bytes unread would reset the connection, and could take the answer from the client. But one
-// that goes on sending for long is not worth the reading.
-void ClientServer::Session::Linger() {
-  Enter(Phase::kLingering);
+// Lingering close (RFC 9112, 9.6): closing a socket with unread data resets the connection, which can destroy
+// the answer before the client reads it. So input is discarded first, up to a limit in time and bytes.
+void ClientServer::Session::StartLingeringClose() {
+  EnterPhase(Phase::kLingering);
   Error ec;
-  socket_.cancel(ec);  // a read under way still has the parser and the buffer, which stay until the end
+  socket_.cancel(ec);  // a pending read uses the parser and the buffer, which outlive it
   socket_.shutdown(tcp::socket::shutdown_send, ec);
   if (ec) return Close();
-  Discard(0);
+  DiscardInput(0);
 }
 
-void ClientServer::Session::Discard(std::size_t so_far) {
-  socket_.async_wait(tcp::socket::wait_read, [this, self = shared_from_this(), so_far](Error ec) {
+void ClientServer::Session::DiscardInput(std::size_t discarded_bytes) {
+  socket_.async_wait(tcp::socket::wait_read, [this, self = shared_from_this(), discarded_bytes](Error ec) {
     if (phase_ != Phase::kLingering) return;
     char sink[16384];
-    const std::size_t got = ec ? 0 : socket_.read_some(asio::buffer(sink), ec);
-    const bool ended = got == 0 && ec != asio::error::would_block;
-    if (ended || so_far + got > discard_) return Close();
-    if (discard_ > kMostDiscarded) since_ = core::Now();  // its body is still coming
-    Discard(so_far + got);
+    const std::size_t received_bytes = ec ? 0 : socket_.read_some(asio::buffer(sink), ec);
+    const bool input_ended = received_bytes == 0 && ec != asio::error::would_block;
+    if (input_ended || discarded_bytes + received_bytes > max_discarded_bytes_) return Close();
+    // The time limit restarts while a request body that was not read still arrives.
+    if (max_discarded_bytes_ > kMaxLingeringBytes) phase_started_at_ = core::Now();
+    DiscardInput(discarded_bytes + received_bytes);
   });
 }
 
--- a/src/fronts/http/session.hpp
+++ b/src/fronts/http/session.hpp
@@ -1,4 +1,4 @@
-// One connection of a client: its phases from one request to the next, and its end.
+/// @file One client connection: the states it passes through for each request, and how it is closed.
 #ifndef MEADOWYARD_FRONTS_HTTP_SESSION_HPP_
 #define MEADOWYARD_FRONTS_HTTP_SESSION_HPP_
 
@@ -15,88 +15,91 @@
 
 namespace meadowyard {
 
-// One request at a time: what comes before the last one is answered waits its turn, a little of it in the
-// head's buffer and the rest in the socket. A client that leaves while it waits is noticed.
+/// Serves one request at a time. Pipelined requests wait until the current one is answered: a limited amount
+/// of them in the buffer for heads, the rest in the socket. A client that disconnects before its answer is
+/// detected.
 class ClientServer::Session : public std::enable_shared_from_this<Session> {
  public:
-  // Nothing that lies in the socket came before `after`.
-  Session(ClientServer& server, boost::asio::ip::tcp::socket socket, Millis after);
+  /// No unread data in the socket was sent before `first_request_sent_after`.
+  Session(ClientServer& server, boost::asio::ip::tcp::socket socket, Millis first_request_sent_after);
 
   void Begin();
-  // Goes on from what another process has read.
-  void Adopted(std::string_view unread);
-  // Has the wait for a head end, so that HeadRead may hand the connection over. Bytes that were read by then
-  // arrive there first.
-  void Yield();
+  /// Starts on a connection that another process handed over; `unread` is the data it has read from it.
+  void StartAdopted(std::string_view unread);
+  /// Cancels the wait for a request head, so that OnHeadRead() can hand the connection over to another
+  /// process. OnHeadRead() first processes data that was read before the cancellation.
+  void RequestHandover();
   void Close();
-  // Ends what has stood still for too long.
+  /// Applies the time limits: ends the request or the connection where one is exceeded.
   void Sweep(Millis now);
 
-  // Between requests, with nothing unread: may be closed without losing anything that was taken.
-  bool Idle();
-  // The last answer has had time to arrive: a request that crosses the close has the connection reset, which
-  // could take the answer with it.
-  bool Arrived(Millis now) const;
-  bool Rested(Millis now) { return Idle() && Arrived(now); }
-  Millis since() const { return since_; }
-  // Which to close first where places have run out; kKept may not be closed. One that has just connected gets
-  // a moment for its first request to arrive: closed at once, it would only connect again.
-  Standing standing(Millis now) const;
-  // Nothing that the client has sent whole may lie unread in the socket.
-  bool MayEvict();
+  /// True between requests with no unread data: closing the connection then loses no request.
+  bool IsIdle();
+  /// True once the last answer has had time to reach the client. A request that arrives as the connection is
+  /// closed causes a reset, which can destroy an answer that the client has not yet read.
+  bool IsAnswerDelivered(Millis now) const;
+  bool CanCloseIdle(Millis now) { return IsIdle() && IsAnswerDelivered(now); }
+  Millis phase_started_at() const { return phase_started_at_; }
+  /// Which connection to close first at the session limit; kNotEvictable may not be closed. A new connection
+  /// gets a short time for its first request to arrive: if closed at once, its client would only connect
+  /// again.
+  EvictionRank eviction_rank(Millis now) const;
+  /// False if the socket may hold an unread complete request, which closing would lose.
+  bool IsSafeToEvict();
 
  private:
-  enum class Phase { kReading, kWaiting, kWriting, kLingering, kClosed };
+  enum class Phase { kReadingRequest, kAwaitingAnswer, kWritingAnswer, kLingering, kClosed };
   using Error = boost::system::error_code;
 
-  void Enter(Phase phase);
-  Millis CameAfter() const;
+  void EnterPhase(Phase phase);
+  Millis EarliestSentAt() const;
   void ReadHead();
-  void HeadRead(Error ec);
+  void OnHeadRead(Error ec);
   void ReadBody();
-  void Unreadable(Error ec);
-  bool HandedOver();
-  void Take();
-  // The rest of a long body, a piece at a time.
-  void ReadOn();
-  void Whole();
-  void Spoilt(Error ec);
-  void DropUpload();
-  void Left();
+  void OnReadError(Error ec);
+  bool TryHandOver();
+  void DispatchRequest();
+  // Reads the next piece of a long body for upload_.
+  void ReadUploadPiece();
+  void OnUploadComplete();
+  void OnUploadError(Error ec);
+  void DetachUpload();
+  void OnClientDisconnected();
   void WatchForReset();
-  // The request was not taken whole, and never will be: its client is told so, and nobody else answers.
-  void Broken(Page page);
-  // Whoever broke the protocol once has no place to go on from: what follows could be anything.
-  void Reply(core::Answer answer);
-  void Send(Page page, core::Answer* stream = nullptr);
-  void Written(AnswerWriter::End end);
-  void Linger();
-  void Discard(std::size_t so_far);
-  void Release() { server_.reserved_ -= std::exchange(reserved_, 0); }
+  // Ends a request whose body can't be received completely: the client gets `page`, and an answer of the core
+  // is ignored.
+  void RejectIncompleteRequest(Page page);
+  // After a protocol error the connection is closed: where the next request would begin is unknown.
+  void SendAnswer(core::Answer answer);
+  void SendPage(Page page, core::Answer* stream = nullptr);
+  void OnAnswerWritten(AnswerWriter::End end);
+  void StartLingeringClose();
+  void DiscardInput(std::size_t discarded_bytes);
+  void ReleaseReservedBody() { server_.reserved_body_bytes_ -= std::exchange(reserved_body_bytes_, 0); }
 
   ClientServer& server_;
   boost::asio::ip::tcp::socket socket_;
   RequestReader reader_;
   AnswerWriter writer_;
-  const Millis after_;  // what lay in the socket at first came later
-  LeaveWatch leaving_;
-  std::string body_;                // what was read of it before its request is taken
-  std::shared_ptr<Upload> upload_;  // the rest of it
+  const Millis first_request_sent_after_;  // for data in the socket on accept
+  LeaveWatch leave_watch_;
+  std::string buffered_body_;       // the part of the body read before the request is dispatched
+  std::shared_ptr<Upload> upload_;  // the rest of the body
   std::string id_;
-  std::uint64_t turn_ = 0;
-  std::uint64_t answered_ = 0;
-  std::uint64_t discard_ = 0;  // most bytes to read off after the last answer
-  std::size_t reserved_ = 0;   // bytes of body that count against the server's
-  Phase phase_ = Phase::kReading;
-  Millis since_ = core::Now();
-  Millis begun_at_ = 0;  // when a part of a request was first seen
-  Millis came_at_ = 0;   // when the next request was seen behind the one being served
-  Millis came_on_ = 0;   // when a body last came on
-  Millis body_at_ = 0;   // when its first byte was waited for
+  std::uint64_t generation_ = 0;  // of the request; callbacks of an earlier one are ignored
+  std::uint64_t answers_sent_ = 0;
+  std::uint64_t max_discarded_bytes_ = 0;  // during the lingering close
+  std::size_t reserved_body_bytes_ = 0;    // of the server's limit for request bodies
+  Phase phase_ = Phase::kReadingRequest;
+  Millis phase_started_at_ = core::Now();
+  Millis request_started_at_ = 0;    // when the first part of a request was seen
+  Millis next_request_seen_at_ = 0;  // when a pipelined request was first seen
+  Millis body_progress_at_ = 0;      // when body data last arrived or was requested
+  Millis body_started_at_ = 0;       // when reading of the body began
   unsigned version_ = 11;
   bool keep_alive_ = true;
-  bool in_body_ = false;  // a body is being read
-  bool watched_ = false;  // for a reset
+  bool is_reading_body_ = false;        // a body is being read before dispatch
+  bool is_watching_for_reset_ = false;  // WatchForReset() has a wait pending
 };
 
 }  // namespace meadowyard
