--- a/tests/crowd_test.cpp
+++ b/tests/crowd_test.cpp
@@ -1,4 +1,5 @@
-// Clients beyond what there are places for: what closing them costs, and what is known of those that waited.
+// More clients than the gateway has sessions for: the cost of eviction, and the deadlines of clients that
+// waited in the accept queue.
 #include <gtest/gtest.h>
 #include <sys/ioctl.h>
 #include <sys/syscall.h>
@@ -12,86 +13,90 @@
 
 namespace {
 
-std::size_t sockets_asked = 0;  // whether anything lies unread in them
+std::size_t unread_checks = 0;  // number of FIONREAD calls
 
 }  // namespace
 
-// In place of the C library's, for this program: counts, and calls the kernel.
+// Replaces the function of the C library in this program: counts the checks for unread data and calls the
+// kernel.
 extern "C" int ioctl(int fd, unsigned long request, ...) noexcept {
-  va_list rest;
-  va_start(rest, request);
-  void* const argument = va_arg(rest, void*);
-  va_end(rest);
-  sockets_asked += request == FIONREAD;
+  va_list arguments;
+  va_start(arguments, request);
+  void* const argument = va_arg(arguments, void*);
+  va_end(arguments);
+  unread_checks += request == FIONREAD;
   return static_cast<int>(::syscall(SYS_ioctl, fd, request, argument));
 }
 
 namespace meadowyard::testing {
 namespace {
 
-// Guards the core of a gateway that a crowd comes to: room for one more is made by asking the kernel about
-// that one, not about hundreds, also where many have sent what is yet to be read.
-TEST(Crowd, IsMadeRoomForByAskingOfFewConnections) {
+// Guards against high CPU load when many clients connect at the session limit: to evict one session, the
+// gateway must not check hundreds of sockets for unread data, even if many of them have some.
+TEST(SessionLimit, EvictionChecksFewSockets) {
   World world(1, TestSettings(), 400);
-  const std::size_t places = meadowyard::ComputeBudget({400, 128, false}).client_sessions;
-  const auto up = [&] {  // an answer that came behind all that was sent before
+  const std::size_t session_limit = meadowyard::ComputeBudget({400, 128, false}).client_sessions;
+  const auto await_earlier_input = [&] {  // returns after the gateway has processed all earlier input
     Client client(world.io, world.gateway->address());
     client.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
     EXPECT_EQ(client.Await().result_int(), 200u);
   };
-  std::vector<std::shared_ptr<RawEnd>> crowd;
-  while (crowd.size() < places) {
-    crowd.push_back(RawConnect(world.io, world.gateway->address()));
-    if (crowd.size() % 16 == 0) up();
+  std::vector<std::shared_ptr<RawEnd>> connections;
+  while (connections.size() < session_limit) {
+    connections.push_back(RawConnect(world.io, world.gateway->address()));
+    if (connections.size() % 16 == 0) await_earlier_input();
   }
-  up();
-  for (const auto& one : crowd) {
+  await_earlier_input();
+  for (const auto& connection : connections) {
     error_code ignored;
-    asio::write(one->socket, asio::buffer(std::string("GET /api HTTP/1.1\r\nReq-")), ignored);
+    asio::write(connection->socket, asio::buffer(std::string("GET /api HTTP/1.1\r\nReq-")), ignored);
   }
-  constexpr std::size_t kMore = 50, kMostEach = 4;
-  sockets_asked = 0;
-  std::vector<std::shared_ptr<RawEnd>> more;
-  for (std::size_t i = 0; i < kMore; ++i) more.push_back(RawConnect(world.io, world.gateway->address()));
-  up();
-  EXPECT_LE(sockets_asked, kMostEach * (kMore + 1)) << "with " << places << " places";
-  EXPECT_GT(sockets_asked, 0u) << "none is closed unasked";
+  constexpr std::size_t kExtraConnections = 50, kMaxChecksPerConnection = 4;
+  unread_checks = 0;
+  std::vector<std::shared_ptr<RawEnd>> extra_connections;
+  for (std::size_t i = 0; i < kExtraConnections; ++i)
+    extra_connections.push_back(RawConnect(world.io, world.gateway->address()));
+  await_earlier_input();
+  EXPECT_LE(unread_checks, kMaxChecksPerConnection * (kExtraConnections + 1))
+      << "with " << session_limit << " sessions";
+  EXPECT_GT(unread_checks, 0u) << "a session was closed without a check for unread data";
 }
 
-// Guards hosts against being told more time than is left to a client that waited for its place, unseen: its
-// first attempt may have all of its time, a further one what is sure.
-TEST(Crowd, WhoWaitedForAPlaceHasForAFurtherAttemptWhatIsSure) {
-  constexpr Millis kAllowed = 3000, kWaits = 400;
-  World world(2, TestSettings(), 10);  // 3 places for clients, 2 for connections to hosts
-  std::vector<Millis> told;
-  bool held = true;
+// Guards against deadlines sent to hosts that exceed the remaining time of the client. The gateway can't see
+// how long a client waited in the accept queue. The first attempt may get the full timeout; a retry gets only
+// the time that certainly remains, so the time in the queue counts as used.
+TEST(SessionLimit, RetryDeadlineIsReducedByTheTimeInTheAcceptQueue) {
+  constexpr Millis kClientTimeout = 3000, kTimeInQueue = 400;
+  World world(2, TestSettings(), 10);  // 3 client sessions, 2 connections to hosts
+  std::vector<Millis> received_deadlines;
+  bool hosts_hold_answers = true;
   for (auto& host : world.hosts) {
     host->serve = [&](const Peer::Taken& taken) {
-      if (taken.http["Req-Id"] != "waits") return held ? void() : taken.Answer(200, "");
-      told.push_back(std::stod(std::string(taken.http["Req-Deadline"])));
-      told.size() == 1 ? taken.on->Reset() : taken.Answer(200, "");
+      if (taken.http["Req-Id"] != "waits") return hosts_hold_answers ? void() : taken.Answer(200, "");
+      received_deadlines.push_back(std::stod(std::string(taken.http["Req-Deadline"])));
+      received_deadlines.size() == 1 ? taken.on->Reset() : taken.Answer(200, "");
     };
   }
-  std::vector<std::unique_ptr<Client>> before;
+  std::vector<std::unique_ptr<Client>> earlier_clients;
   for (int i = 0; i < 3; ++i) {
-    before.push_back(world.Connect());
-    before.back()->Send(ApiCall("held" + std::to_string(i), "pay", "20000m"));
+    earlier_clients.push_back(world.Connect());
+    earlier_clients.back()->Send(ApiCall("held" + std::to_string(i), "pay", "20000m"));
   }
   ASSERT_TRUE(
       world.Until([&] { return world.host(0).requests.size() + world.host(1).requests.size() == 2; }));
-  const auto waits = world.Connect();
-  waits->Send(ApiCall("waits", "view", std::to_string(static_cast<int>(kAllowed)) + "m"));
-  const Millis from = core::Now();
-  ASSERT_TRUE(world.Until([&] { return core::Now() - from > kWaits; }));
-  ASSERT_TRUE(told.empty()) << "it has no place yet";
-  held = false;
+  const auto queued_client = world.Connect();
+  queued_client->Send(ApiCall("waits", "view", std::to_string(static_cast<int>(kClientTimeout)) + "m"));
+  const Millis queued_at = core::Now();
+  ASSERT_TRUE(world.Until([&] { return core::Now() - queued_at > kTimeInQueue; }));
+  ASSERT_TRUE(received_deadlines.empty()) << "the client has no session yet";
+  hosts_hold_answers = false;
   for (auto& host : world.hosts) {
     for (const Peer::Taken& taken : host->requests) taken.Answer(200, "");
   }
-  EXPECT_EQ(waits->Await().result_int(), 200u);
-  ASSERT_EQ(told.size(), 2u);
-  EXPECT_GT(told[0], kAllowed - kWaits);
-  EXPECT_LE(told[1], kAllowed - kWaits);
+  EXPECT_EQ(queued_client->Await().result_int(), 200u);
+  ASSERT_EQ(received_deadlines.size(), 2u);
+  EXPECT_GT(received_deadlines[0], kClientTimeout - kTimeInQueue);
+  EXPECT_LE(received_deadlines[1], kClientTimeout - kTimeInQueue);
 }
 
 }  // namespace
--- a/tests/leave_test.cpp
+++ b/tests/leave_test.cpp
@@ -1,5 +1,5 @@
-// A client that leaves while its request waits: whatever it sent before it went, no attempt begins for it
-// more than 0.1 s later. Also where the settings let nothing be cancelled.
+// A client disconnects while its request is unanswered. Whatever data it sent before, no attempt may begin
+// for it more than 0.1 s later, even with cancelling switched off in the settings.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -10,33 +10,34 @@
 namespace meadowyard::testing {
 namespace {
 
-enum class Stage { kQueued, kUploadHeldBack, kDialling, kBetweenAttempts };
-enum class How { kCloses, kResets, kHalfCloses };
-enum class Before { kNothing, kSomeBytes, kARequest, kMuch };
-constexpr const char* kStages[] = {"Queued", "UploadHeldBack", "Dialling", "BetweenAttempts"};
-constexpr const char* kHows[] = {"Closes", "Resets", "HalfCloses"};
-constexpr const char* kBefores[] = {"", "AfterSomeBytes", "AfterARequest", "AfterMuch"};
-constexpr Millis kNoticed = 100;
-
-std::size_t Descriptors() {
-  std::size_t n = 0;
-  for ([[maybe_unused]] const auto& entry : std::filesystem::directory_iterator("/proc/self/fd")) ++n;
-  return n;
+enum class Stage { kQueued, kUploadHeldBack, kConnecting, kBetweenAttempts };
+enum class Disconnect { kClose, kReset, kHalfClose };
+enum class ExtraData { kNone, kPartialRequest, kPipelinedRequest, kManyPipelinedRequests };
+constexpr const char* kStageNames[] = {"Queued", "UploadHeldBack", "Connecting", "BetweenAttempts"};
+constexpr const char* kDisconnectNames[] = {"Closes", "Resets", "HalfCloses"};
+constexpr const char* kExtraDataNames[] = {"", "AfterPartialRequest", "AfterPipelinedRequest",
+                                           "AfterManyPipelinedRequests"};
+constexpr Millis kMaxDetectionTime = 100;
+
+std::size_t CountOpenDescriptors() {
+  std::size_t count = 0;
+  for ([[maybe_unused]] const auto& entry : std::filesystem::directory_iterator("/proc/self/fd")) ++count;
+  return count;
 }
 
-std::string More(Before before) {
-  switch (before) {
-    case Before::kNothing: return "";
-    case Before::kSomeBytes: return "GET /api HT";
-    case Before::kARequest: return ApiCall("second");
-    case Before::kMuch: break;
+std::string TextOf(ExtraData sent_data) {
+  switch (sent_data) {
+    case ExtraData::kNone: return "";
+    case ExtraData::kPartialRequest: return "GET /api HT";
+    case ExtraData::kPipelinedRequest: return ApiCall("second");
+    case ExtraData::kManyPipelinedRequests: break;
   }
-  std::string much;
-  for (int i = 0; much.size() < 20000; ++i) much += ApiCall("more" + std::to_string(i));
-  return much;
+  std::string request_texts;
+  for (int i = 0; request_texts.size() < 20000; ++i) request_texts += ApiCall("more" + std::to_string(i));
+  return request_texts;
 }
 
-struct Leaves : ::testing::TestWithParam<std::tuple<Stage, How, Before>> {
+struct ClientDisconnect : ::testing::TestWithParam<std::tuple<Stage, Disconnect, ExtraData>> {
   static nlohmann::json Settings() {
     auto settings = TestSettings();
     settings["limits"]["cancelling"] = false;
@@ -45,25 +46,26 @@
   }
 };
 
-TEST_P(Leaves, AndNothingIsSentForIt) {
-  const auto& [stage, how, more] = GetParam();
+TEST_P(ClientDisconnect, NoAttemptIsSentAfterwards) {
+  const auto& [stage, disconnect, extra_data] = GetParam();
   World world(2, Settings(), 300, true);
   for (auto& host : world.hosts) host->serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
-  // A host whose queue is full for now: a dial to it hangs.
-  tcp::acceptor crowded(world.io, tcp::v4());
-  crowded.bind(Loopback());
-  crowded.listen(0);
-  crowded.non_blocking(true);
-  tcp::socket fill(world.io);
-  fill.connect(crowded.local_endpoint());
-  const auto first = stage == Stage::kDialling ? crowded.local_endpoint() : world.host(0).address();
-  const bool up = stage == Stage::kDialling || stage == Stage::kBetweenAttempts;
-  world.Tell(50, {Member("h0", first, up ? "up" : "draining")}, true);
+  // A host whose accept queue is full: connecting to it hangs.
+  tcp::acceptor full_listener(world.io, tcp::v4());
+  full_listener.bind(Loopback());
+  full_listener.listen(0);
+  full_listener.non_blocking(true);
+  tcp::socket queue_filler(world.io);
+  queue_filler.connect(full_listener.local_endpoint());
+  const auto initial_address =
+      stage == Stage::kConnecting ? full_listener.local_endpoint() : world.host(0).address();
+  const bool is_available = stage == Stage::kConnecting || stage == Stage::kBetweenAttempts;
+  world.Tell(50, {Member("h0", initial_address, is_available ? "up" : "draining")}, true);
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() >= 2; }));
   if (stage == Stage::kBetweenAttempts) {
     world.host(0).serve = [](const Peer::Taken& taken) { taken.on->Reset(); };
   }
-  const std::size_t before = Descriptors();
+  const std::size_t descriptors_before = CountOpenDescriptors();
 
   const auto client = RawConnect(world.io, world.gateway->address());
   std::string text = ApiCall("left", "view", "9000m");
@@ -73,181 +75,199 @@
   }
   client->Say(text);
   ASSERT_TRUE(world.Until([&] {
-    const bool tried = stage != Stage::kBetweenAttempts || !world.host(0).requests.empty();
-    return client->said == text.size() && tried && world.Figures()["current"] >= (up ? 1 : 0);
+    const bool attempt_sent = stage != Stage::kBetweenAttempts || !world.host(0).requests.empty();
+    return client->said == text.size() && attempt_sent &&
+           world.Figures()["current"] >= (is_available ? 1 : 0);
   }));
-  client->Say(More(more));
-  ASSERT_TRUE(world.Until([&] { return client->said == text.size() + More(more).size(); }));
-  while (world.io.poll() > 0) {  // the gateway has seen all of that before the end comes
+  client->Say(TextOf(extra_data));
+  ASSERT_TRUE(world.Until([&] { return client->said == text.size() + TextOf(extra_data).size(); }));
+  while (world.io.poll() > 0) {  // the gateway processes all of this data before the disconnect
   }
-  ASSERT_EQ(client->all, 0u) << "it has its answer already: " << client->got;
-  switch (how) {
-    case How::kCloses: client->socket.close(); break;
-    case How::kResets: client->Reset(); break;
-    case How::kHalfCloses: client->HalfClose(); break;
+  ASSERT_EQ(client->all, 0u) << "answered before the disconnect: " << client->got;
+  switch (disconnect) {
+    case Disconnect::kClose: client->socket.close(); break;
+    case Disconnect::kReset: client->Reset(); break;
+    case Disconnect::kHalfClose: client->HalfClose(); break;
   }
-  world.io.run_for(std::chrono::microseconds(static_cast<int>(kNoticed * 1000)));
+  world.io.run_for(std::chrono::microseconds(static_cast<int>(kMaxDetectionTime * 1000)));
   error_code ignored;
   client->socket.close(ignored);
 
-  // Now there is somewhere to go: for the client that left, and for another one.
-  const std::size_t sent = world.host(0).requests.size();
-  if (stage == Stage::kDialling) {
+  // Makes a host available, to which a request of the disconnected client could be sent as well as a later
+  // one.
+  const std::size_t requests_sent = world.host(0).requests.size();
+  if (stage == Stage::kConnecting) {
     std::string bytes;
     std::vector<tcp::socket> accepted;
     ASSERT_TRUE(world.Until([&] {
       error_code ec;
-      tcp::socket socket = crowded.accept(ec);
+      tcp::socket socket = full_listener.accept(ec);
       if (!ec) accepted.push_back(std::move(socket));
-      for (tcp::socket& s : accepted) {
+      for (tcp::socket& connection : accepted) {
         char piece[4096];
-        s.non_blocking(true);
-        if (const std::size_t n = s.read_some(asio::buffer(piece), ec); !ec) bytes.append(piece, n);
+        connection.non_blocking(true);
+        if (const std::size_t count = connection.read_some(asio::buffer(piece), ec); !ec)
+          bytes.append(piece, count);
       }
-      return !bytes.empty() || Descriptors() <= before + accepted.size();
+      return !bytes.empty() || CountOpenDescriptors() <= descriptors_before + accepted.size();
     }));
     EXPECT_EQ(bytes, "");
   }
   world.Tell(51, {Member("h0", world.host(0).address(), "draining"), Member("h1", world.host(1).address())},
              true);
-  Client other(world.io, world.gateway->address());
+  Client other_client(world.io, world.gateway->address());
   bool served = false;
   for (std::size_t i = 1; i <= 200 && !served; ++i) {
-    other.Send(ApiCall("other" + std::to_string(i), "view", "400m"));
-    served = other.Await(i).result_int() == 200;
+    other_client.Send(ApiCall("other" + std::to_string(i), "view", "400m"));
+    served = other_client.Await(i).result_int() == 200;
   }
   EXPECT_TRUE(served);
-  EXPECT_EQ(world.host(0).requests.size(), sent);
+  EXPECT_EQ(world.host(0).requests.size(), requests_sent);
   for (const Peer::Taken& taken : world.host(1).requests) {
     EXPECT_TRUE(taken.http["Req-Id"].starts_with("other")) << taken.http["Req-Id"];
   }
-  EXPECT_LE(world.host(1).connections.size(), world.host(1).requests.size()) << "half a request came";
+  EXPECT_LE(world.host(1).connections.size(), world.host(1).requests.size())
+      << "received an incomplete request";
   EXPECT_EQ(world.Figures()["current"], 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(While, Leaves,
-                         ::testing::Combine(::testing::Values(Stage::kQueued, Stage::kUploadHeldBack,
-                                                              Stage::kDialling, Stage::kBetweenAttempts),
-                                            ::testing::Values(How::kCloses, How::kResets, How::kHalfCloses),
-                                            ::testing::Values(Before::kNothing, Before::kSomeBytes,
-                                                              Before::kARequest, Before::kMuch)),
-                         [](const auto& info) {
-                           return std::string(kStages[static_cast<int>(std::get<0>(info.param))]) +
-                                  kHows[static_cast<int>(std::get<1>(info.param))] +
-                                  kBefores[static_cast<int>(std::get<2>(info.param))];
-                         });
-
-// The end of the client is there before the gateway looks: with its request, in the same turn of the loop as
-// the failed attempt before, or as the dial that comes up. Nothing runs in between.
-enum class Unseen { kInTheQueue, kOnAKeptConnection, kBesideAFailedAttempt, kBesideADial };
-constexpr const char* kUnseens[] = {"InTheQueue", "OnAKeptConnection", "BesideAFailedAttempt", "BesideADial"};
-
-void Leave(tcp::socket& socket, How how) {
+INSTANTIATE_TEST_SUITE_P(
+    During, ClientDisconnect,
+    ::testing::Combine(::testing::Values(Stage::kQueued, Stage::kUploadHeldBack, Stage::kConnecting,
+                                         Stage::kBetweenAttempts),
+                       ::testing::Values(Disconnect::kClose, Disconnect::kReset, Disconnect::kHalfClose),
+                       ::testing::Values(ExtraData::kNone, ExtraData::kPartialRequest,
+                                         ExtraData::kPipelinedRequest, ExtraData::kManyPipelinedRequests)),
+    [](const auto& info) {
+      return std::string(kStageNames[static_cast<int>(std::get<0>(info.param))]) +
+             kDisconnectNames[static_cast<int>(std::get<1>(info.param))] +
+             kExtraDataNames[static_cast<int>(std::get<2>(info.param))];
+    });
+
+// The client disconnects while an event on which the gateway would send an attempt is still unprocessed: the
+// arrival of the request, the failure of an attempt, or the completion of a connection setup. The gateway
+// finds both in the same pass of its event loop, because the loop doesn't run in between.
+enum class PendingEvent {
+  kRequestOnNewConnection,
+  kRequestOnPersistentConnection,
+  kFailedAttempt,
+  kConnectionSetup
+};
+constexpr const char* kPendingEventNames[] = {"RequestOnNewConnection", "RequestOnPersistentConnection",
+                                              "FailedAttempt", "ConnectionSetup"};
+
+void DisconnectClient(tcp::socket& socket, Disconnect disconnect) {
   error_code ignored;
-  if (how == How::kHalfCloses) return static_cast<void>(socket.shutdown(tcp::socket::shutdown_send, ignored));
-  if (how == How::kResets) socket.set_option(asio::socket_base::linger(true, 0), ignored);
+  if (disconnect == Disconnect::kHalfClose)
+    return static_cast<void>(socket.shutdown(tcp::socket::shutdown_send, ignored));
+  if (disconnect == Disconnect::kReset) socket.set_option(asio::socket_base::linger(true, 0), ignored);
   socket.close(ignored);
 }
 
-struct LeavesUnseen : ::testing::TestWithParam<std::tuple<Unseen, How, Before>> {};
+struct DisconnectWithPendingEvent
+    : ::testing::TestWithParam<std::tuple<PendingEvent, Disconnect, ExtraData>> {};
 
-TEST_P(LeavesUnseen, AndNothingIsSentForIt) {
-  const auto& [unseen, how, more] = GetParam();
-  World world(2, Leaves::Settings());
+TEST_P(DisconnectWithPendingEvent, NoAttemptIsSentAfterwards) {
+  const auto& [pending_event, disconnect, extra_data] = GetParam();
+  World world(2, ClientDisconnect::Settings());
   for (auto& host : world.hosts) {
     host->serve = [](const Peer::Taken& taken) {
       if (taken.http["Req-Id"] != "held") taken.Answer(200, "");
     };
   }
-  const auto sent = [&] { return world.host(0).requests.size() + world.host(1).requests.size(); };
-  // A host whose queue is full until room is made there.
-  tcp::acceptor crowded(world.io, tcp::v4());
-  crowded.bind(Loopback());
-  crowded.listen(0);
-  tcp::socket fill(world.io);
-  fill.connect(crowded.local_endpoint());
-  if (unseen == Unseen::kBesideADial) {
-    world.Tell(50, {Member("h0", crowded.local_endpoint())}, true);
+  const auto count_requests = [&] { return world.host(0).requests.size() + world.host(1).requests.size(); };
+  // A host whose accept queue is full until a connection is accepted from it.
+  tcp::acceptor full_listener(world.io, tcp::v4());
+  full_listener.bind(Loopback());
+  full_listener.listen(0);
+  tcp::socket queue_filler(world.io);
+  queue_filler.connect(full_listener.local_endpoint());
+  if (pending_event == PendingEvent::kConnectionSetup) {
+    world.Tell(50, {Member("h0", full_listener.local_endpoint())}, true);
     ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() >= 2; }));
   }
 
-  // Connections to hosts that rest: a request goes out on one of them in the turn that takes it.
-  for (int i = 0; i < 20 && unseen != Unseen::kBesideADial; ++i) {
+  // Opens idle connections to the hosts, so that a request is sent in the same pass of the event loop that
+  // reads it.
+  for (int i = 0; i < 20 && pending_event != PendingEvent::kConnectionSetup; ++i) {
     if (!world.host(0).connections.empty() && !world.host(1).connections.empty()) break;
-    Client one(world.io, world.gateway->address()), two(world.io, world.gateway->address());
-    one.Send(ApiCall("warm1-" + std::to_string(i)));
-    two.Send(ApiCall("warm2-" + std::to_string(i)));
-    ASSERT_EQ(one.Await().result_int() + two.Await().result_int(), 400u);
+    Client first_client(world.io, world.gateway->address()),
+        second_client(world.io, world.gateway->address());
+    first_client.Send(ApiCall("warm1-" + std::to_string(i)));
+    second_client.Send(ApiCall("warm2-" + std::to_string(i)));
+    ASSERT_EQ(first_client.Await().result_int() + second_client.Await().result_int(), 400u);
   }
   world.LetHostsRest();
   for (auto& host : world.hosts) host->requests.clear();
 
   tcp::socket client(world.io);
   client.connect(world.gateway->address());
-  const auto say = [&](const std::string& text) { asio::write(client, asio::buffer(text)); };
+  const auto write_to_gateway = [&](const std::string& text) { asio::write(client, asio::buffer(text)); };
   error_code ec;
-  int before = 0;
-  if (unseen == Unseen::kOnAKeptConnection) {
-    say(ApiCall("first"));
+  int earlier_requests = 0;
+  if (pending_event == PendingEvent::kRequestOnPersistentConnection) {
+    write_to_gateway(ApiCall("first"));
     ASSERT_TRUE(world.Until([&] { return client.available(ec) > 0; }));
     world.LetHostsRest();
-    before = 1;
-  } else if (unseen == Unseen::kBesideAFailedAttempt) {
-    say(ApiCall("held"));
-    ASSERT_TRUE(world.Until([&] { return sent() == 1; }));
-    before = 1;
+    earlier_requests = 1;
+  } else if (pending_event == PendingEvent::kFailedAttempt) {
+    write_to_gateway(ApiCall("held"));
+    ASSERT_TRUE(world.Until([&] { return count_requests() == 1; }));
+    earlier_requests = 1;
     Peer& host = world.host(world.host(0).requests.empty() ? 1 : 0);
     host.requests[0].on->Reset();
-  } else if (unseen == Unseen::kBesideADial) {
-    say(ApiCall("left"));
-    Client beside(world.io, world.gateway->address());  // answered when the one above has been taken
-    beside.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
-    ASSERT_EQ(beside.Await().result_int(), 200u);
-    crowded.accept();  // the filling one: there is room now, and the gateway's dial comes up
-  }
-  tcp::socket dialled(world.io);
-  if (unseen == Unseen::kBesideADial) {
-    dialled = crowded.accept();
-  } else if (unseen != Unseen::kBesideAFailedAttempt) {
-    say(ApiCall("left"));
-  }
-  if (more != Before::kNothing) say(More(more));
-  Leave(client, how);
-
-  // Whoever comes behind it is served when all of that has been seen.
+  } else if (pending_event == PendingEvent::kConnectionSetup) {
+    write_to_gateway(ApiCall("left"));
+    Client probe(world.io, world.gateway->address());  // its answer shows that the request above was read
+    probe.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n");
+    ASSERT_EQ(probe.Await().result_int(), 200u);
+    full_listener.accept();  // removes the filler, so that the gateway's connection setup completes
+  }
+  tcp::socket host_connection(world.io);
+  if (pending_event == PendingEvent::kConnectionSetup) {
+    host_connection = full_listener.accept();
+  } else if (pending_event != PendingEvent::kFailedAttempt) {
+    write_to_gateway(ApiCall("left"));
+  }
+  if (extra_data != ExtraData::kNone) write_to_gateway(TextOf(extra_data));
+  DisconnectClient(client, disconnect);
+
+  // A later client is served only after the gateway has processed all of these events.
   world.Tell(51, {Member("h0", world.host(0).address()), Member("h1", world.host(1).address())}, true);
-  Client other(world.io, world.gateway->address());
+  Client other_client(world.io, world.gateway->address());
   bool served = false;
   for (std::size_t i = 1; i <= 200 && !served; ++i) {
-    other.Send(ApiCall("other" + std::to_string(i), "view", "400m"));
-    served = other.Await(i).result_int() == 200;
+    other_client.Send(ApiCall("other" + std::to_string(i), "view", "400m"));
+    served = other_client.Await(i).result_int() == 200;
   }
   EXPECT_TRUE(served);
-  if (unseen == Unseen::kBesideADial) {
-    dialled.non_blocking(true);
+  if (pending_event == PendingEvent::kConnectionSetup) {
+    host_connection.non_blocking(true);
     char byte = 0;
-    EXPECT_EQ(dialled.read_some(asio::buffer(&byte, 1), ec), 0u) << "something was written for it";
+    EXPECT_EQ(host_connection.read_some(asio::buffer(&byte, 1), ec), 0u)
+        << "data was sent for the disconnected client";
   }
   for (const auto& host : world.hosts) {
     for (const Peer::Taken& taken : host->requests) {
       const std::string id(taken.http["Req-Id"]);
-      EXPECT_TRUE(id.starts_with("other") || (before > 0 && (id == "first" || id == "held"))) << id;
-      before -= id == "first" || id == "held";
+      EXPECT_TRUE(id.starts_with("other") || (earlier_requests > 0 && (id == "first" || id == "held"))) << id;
+      earlier_requests -= id == "first" || id == "held";
     }
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Just, LeavesUnseen,
-                         ::testing::Combine(::testing::Values(Unseen::kInTheQueue, Unseen::kOnAKeptConnection,
-                                                              Unseen::kBesideAFailedAttempt,
-                                                              Unseen::kBesideADial),
-                                            ::testing::Values(How::kCloses, How::kResets, How::kHalfCloses),
-                                            ::testing::Values(Before::kNothing, Before::kARequest)),
-                         [](const auto& info) {
-                           return std::string(kUnseens[static_cast<int>(std::get<0>(info.param))]) +
-                                  kHows[static_cast<int>(std::get<1>(info.param))] +
-                                  kBefores[static_cast<int>(std::get<2>(info.param))];
-                         });
+INSTANTIATE_TEST_SUITE_P(
+    On, DisconnectWithPendingEvent,
+    ::testing::Combine(::testing::Values(PendingEvent::kRequestOnNewConnection,
+                                         PendingEvent::kRequestOnPersistentConnection,
+                                         PendingEvent::kFailedAttempt, PendingEvent::kConnectionSetup),
+                       ::testing::Values(Disconnect::kClose, Disconnect::kReset, Disconnect::kHalfClose),
+                       ::testing::Values(ExtraData::kNone, ExtraData::kPipelinedRequest)),
+    [](const auto& info) {
+      return std::string(kPendingEventNames[static_cast<int>(std::get<0>(info.param))]) +
+             kDisconnectNames[static_cast<int>(std::get<1>(info.param))] +
+             kExtraDataNames[static_cast<int>(std::get<2>(info.param))];
+    });
 
 }  // namespace
 }  // namespace meadowyard::testing
