--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -191,15 +191,15 @@
 
 void Service::OnSuccessorLost() {
   hosts_.PassIdle(nullptr);
-  clients_.TakeBack();
+  clients_.ResumeServing();
   peers_.Open();
-  if (edge_) edge_->front().TakeBack();
+  if (edge_) edge_->front().ResumeServing();
 }
 
 void Service::OnPredecessorDescriptors(std::size_t count) {
   if (count == std::exchange(others_, count)) return;
   budget_ = ComputeBudget(MeansOf(config_, edge_file_.get()), others_);
-  clients_.SetPlaces(budget_.client_sessions, budget_.idle_eviction_threshold);
+  clients_.SetSessionLimits(budget_.client_sessions, budget_.idle_eviction_threshold);
   hosts_.SetMaxConnections(budget_.host_connections);
   core_.Configure(Fitted());
 }
