--- a/src/edge/edge_config.cpp
+++ b/src/edge/edge_config.cpp
@@ -219,9 +219,9 @@
   in.Finish();
   config.routes = std::make_shared<const RouteTable>(std::move(rules), std::move(fallback));
   for (const RouteTable::Shadow& s : config.routes->Shadows()) {
-    config.warnings.push_back(path + ":" + std::to_string(s.lost->line) + ": route '" + s.lost->name +
-                              "' is never reached: route '" + s.by->name + "' (line " +
-                              std::to_string(s.by->line) + ") takes all that it matches");
+    config.warnings.push_back(path + ":" + std::to_string(s.shadowed->line) + ": route '" + s.shadowed->name +
+                              "' is never reached: route '" + s.shadowing->name + "' (line " +
+                              std::to_string(s.shadowing->line) + ") takes all that it matches");
   }
   return config;
 }
--- a/src/routing/table.cpp
+++ b/src/routing/table.cpp
@@ -8,28 +8,28 @@
 
 namespace ip = boost::asio::ip;
 
-// Whether the first `bits` of two addresses of one family are the same.
+// Whether the first `bits` bits of two addresses of the same family are equal.
 template <typename Bytes>
-bool SameBits(const Bytes& a, const Bytes& b, int bits) {
-  for (std::size_t i = 0; i < a.size() && bits > 0; ++i, bits -= 8) {
+bool HaveSamePrefix(const Bytes& left, const Bytes& right, int bits) {
+  for (std::size_t i = 0; i < left.size() && bits > 0; ++i, bits -= 8) {
     const int shift = bits >= 8 ? 0 : 8 - bits;
-    if ((a[i] >> shift) != (b[i] >> shift)) return false;
+    if ((left[i] >> shift) != (right[i] >> shift)) return false;
   }
   return true;
 }
 
-bool Within(const ip::address& address, const ip::address& network, int bits) {
+bool IsInNetwork(const ip::address& address, const ip::address& network, int bits) {
   if (address.is_v4() != network.is_v4()) return false;
-  return address.is_v4() ? SameBits(address.to_v4().to_bytes(), network.to_v4().to_bytes(), bits)
-                         : SameBits(address.to_v6().to_bytes(), network.to_v6().to_bytes(), bits);
+  return address.is_v4() ? HaveSamePrefix(address.to_v4().to_bytes(), network.to_v4().to_bytes(), bits)
+                         : HaveSamePrefix(address.to_v6().to_bytes(), network.to_v6().to_bytes(), bits);
 }
 
-int Bits(const ip::address& address) { return address.is_v4() ? 32 : 128; }
+int AddressBits(const ip::address& address) { return address.is_v4() ? 32 : 128; }
 
-bool EndsWith(const std::string& name, const std::string& suffix) {
-  if (name.size() == suffix.size()) return name == suffix;
-  return name.size() > suffix.size() && name.ends_with(suffix) &&
-         name[name.size() - suffix.size() - 1] == '.';
+bool IsSameOrSubdomain(const std::string& name, const std::string& domain) {
+  if (name.size() == domain.size()) return name == domain;
+  return name.size() > domain.size() && name.ends_with(domain) &&
+         name[name.size() - domain.size() - 1] == '.';
 }
 
 }  // namespace
@@ -39,8 +39,8 @@
   switch (kind) {
     case Kind::kAny: return true;
     case Kind::kExact: return name.empty() ? to.address == network : !to.address && to.name == name;
-    case Kind::kSuffix: return !to.address && EndsWith(to.name, name);
-    case Kind::kNetwork: return to.address && Within(*to.address, network, prefix);
+    case Kind::kSuffix: return !to.address && IsSameOrSubdomain(to.name, name);
+    case Kind::kNetwork: return to.address && IsInNetwork(*to.address, network, prefix);
   }
   return false;
 }
@@ -48,16 +48,16 @@
 bool Pattern::Covers(const Pattern& other) const {
   if (other.first_port < first_port || other.last_port > last_port) return false;
   if (kind == Kind::kAny) return true;
-  const bool names = !other.name.empty();
+  const bool other_is_name = !other.name.empty();
   if (other.kind == Kind::kAny) return false;
-  if (names != !name.empty()) return false;
+  if (other_is_name != !name.empty()) return false;
   switch (kind) {
     case Kind::kExact:
-      return other.kind == Kind::kExact && (names ? name == other.name : network == other.network);
-    case Kind::kSuffix: return EndsWith(other.name, name);
+      return other.kind == Kind::kExact && (other_is_name ? name == other.name : network == other.network);
+    case Kind::kSuffix: return IsSameOrSubdomain(other.name, name);
     case Kind::kNetwork: {
-      const int bits = other.kind == Kind::kNetwork ? other.prefix : Bits(other.network);
-      return bits >= prefix && Within(other.network, network, prefix);
+      const int bits = other.kind == Kind::kNetwork ? other.prefix : AddressBits(other.network);
+      return bits >= prefix && IsInNetwork(other.network, network, prefix);
     }
     case Kind::kAny: break;
   }
@@ -78,7 +78,7 @@
                                          : ", ports " + ports + " to " + std::to_string(last_port));
 }
 
-std::optional<Pattern> ParseNetwork(std::string_view text, std::string& why) {
+std::optional<Pattern> ParseNetwork(std::string_view text, std::string& reason) {
   const std::size_t slash = text.find('/');
   boost::system::error_code ec;
   Pattern pattern;
@@ -87,8 +87,8 @@
   const std::string_view digits = slash == std::string_view::npos ? "" : text.substr(slash + 1);
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), pattern.prefix);
   if (ec || digits.empty() || error != std::errc() || end != digits.data() + digits.size() ||
-      pattern.prefix < 0 || pattern.prefix > Bits(pattern.network)) {
-    why = "'" + std::string(text) + "' is not a network such as 10.0.0.0/8";
+      pattern.prefix < 0 || pattern.prefix > AddressBits(pattern.network)) {
+    reason = "'" + std::string(text) + "' is not a network such as 10.0.0.0/8";
     return std::nullopt;
   }
   const bool has_host_bits =
@@ -99,7 +99,7 @@
                   .canonical()
                   .address() == pattern.network.to_v6());
   if (has_host_bits) {
-    why = "'" + std::string(text) + "' has bits beyond its prefix";
+    reason = "'" + std::string(text) + "' has bits beyond its prefix";
     return std::nullopt;
   }
   return pattern;
@@ -109,33 +109,36 @@
   for (const Route& rule : rules_) {
     if (rule.pattern.Matches(to)) return rule;
   }
-  return otherwise_;
+  return default_route_;
 }
 
 std::string RouteTable::Explain(const Destination& to) const {
   std::string text;
-  const Route& taken = Find(to);
+  const Route& selected = Find(to);
   for (const Route& rule : rules_) {
-    const std::string head = "route '" + rule.name + "' (line " + std::to_string(rule.line) + "): ";
-    if (&rule == &taken)
-      return text + head + to.ToText() + " matches " + rule.pattern.ToText() + "; " + Target(rule) + "\n";
+    const std::string route_label = "route '" + rule.name + "' (line " + std::to_string(rule.line) + "): ";
+    if (&rule == &selected)
+      return text + route_label + to.ToText() + " matches " + rule.pattern.ToText() + "; " + Target(rule) +
+             "\n";
     Pattern any_port = rule.pattern;
     any_port.first_port = 0, any_port.last_port = 65535;
-    text += head + (any_port.Matches(to) ? "the port is another" : "is for " + any_port.ToText()) + "\n";
+    text +=
+        route_label + (any_port.Matches(to) ? "the port is another" : "is for " + any_port.ToText()) + "\n";
   }
-  return text + "default (line " + std::to_string(otherwise_.line) + "): " + Target(otherwise_) + "\n";
+  return text + "default (line " + std::to_string(default_route_.line) + "): " + Target(default_route_) +
+         "\n";
 }
 
 std::vector<RouteTable::Shadow> RouteTable::Shadows() const {
-  std::vector<Shadow> all;
+  std::vector<Shadow> shadows;
   for (std::size_t i = 0; i < rules_.size(); ++i) {
     for (std::size_t j = 0; j < i; ++j) {
       if (!rules_[j].pattern.Covers(rules_[i].pattern)) continue;
-      all.push_back({&rules_[j], &rules_[i]});
+      shadows.push_back({&rules_[j], &rules_[i]});
       break;
     }
   }
-  return all;
+  return shadows;
 }
 
 std::string Target(const Route& route) {
