--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -193,7 +193,7 @@
   hosts_.PassIdle(nullptr);
   clients_.TakeBack();
   peers_.Open();
-  if (edge_) edge_->front().TakeBack();
+  if (edge_) edge_->front().ResumeServing();
 }
 
 void Service::OnPredecessorDescriptors(std::size_t count) {
--- a/src/fronts/tunnel/socks_handshake.cpp
+++ b/src/fronts/tunnel/socks_handshake.cpp
@@ -9,22 +9,23 @@
 
 namespace ip = boost::asio::ip;
 
-constexpr unsigned char kVersion = 5, kPasswordVersion = 1;
-constexpr unsigned char kNoMethod = 0xff, kNoCredentials = 0, kPassword = 2;
-enum Code : unsigned char {
-  kSucceeded = 0,
+constexpr unsigned char kSocksVersion = 5, kPasswordAuthVersion = 1;
+constexpr unsigned char kNoAcceptableMethod = 0xff, kNoAuthentication = 0, kUsernamePassword = 2;
+// RFC 1928, section 6.
+enum ReplyCode : unsigned char {
+  kSuccess = 0,
   kGeneralFailure = 1,
-  kNotAllowed = 2,
+  kNotAllowed = 2,  // by the ruleset
   kHostUnreachable = 4,
-  kRefusedThere = 5,
-  kUnknownCommand = 7,
-  kUnknownAddress = 8,
+  kConnectionRefused = 5,
+  kCommandNotSupported = 7,
+  kAddressTypeNotSupported = 8,
 };
 
 std::string Bytes(std::initializer_list<unsigned char> bytes) { return {bytes.begin(), bytes.end()}; }
 
-std::string ReplyText(Code code, const ip::tcp::endpoint& bound = {}) {
-  std::string text = Bytes({kVersion, code, 0});
+std::string FormatReply(ReplyCode code, const ip::tcp::endpoint& bound = {}) {
+  std::string text = Bytes({kSocksVersion, code, 0});
   const auto append = [&](const auto& bytes) { text.append(bytes.begin(), bytes.end()); };
   if (bound.address().is_v6()) {
     text += '\x04';
@@ -40,98 +41,102 @@
  public:
   explicit SocksHandshake(Check check) : check_(std::move(check)) {}
 
-  Step Feed(std::string& in) override {
+  Step Feed(std::string& input) override {
     while (true) {
-      const Stage before = stage_;
-      const Step step = stage_ == Stage::kMethods    ? Methods(in)
-                        : stage_ == Stage::kPassword ? Password(in)
-                                                     : Ask(in);
-      if (step != Step::kMore || stage_ == before) return step;
+      const Stage stage_before = stage_;
+      const Step step = stage_ == Stage::kMethods            ? ReadMethods(input)
+                        : stage_ == Stage::kUsernamePassword ? ReadPassword(input)
+                                                             : ReadRequest(input);
+      if (step != Step::kMore || stage_ == stage_before) return step;
     }
   }
 
   std::string Reply(TunnelReply reply, Millis, const ip::tcp::endpoint& bound) const override {
     switch (reply) {
-      case TunnelReply::kOpen: return ReplyText(kSucceeded, bound);
-      case TunnelReply::kDenied: return ReplyText(kNotAllowed);
-      case TunnelReply::kTurnedAway: return ReplyText(kGeneralFailure);
-      case TunnelReply::kUnreachable: return ReplyText(kRefusedThere);
-      case TunnelReply::kOverdue: return ReplyText(kHostUnreachable);
+      case TunnelReply::kOpen: return FormatReply(kSuccess, bound);
+      case TunnelReply::kDenied: return FormatReply(kNotAllowed);
+      case TunnelReply::kUnavailable: return FormatReply(kGeneralFailure);
+      case TunnelReply::kUnreachable: return FormatReply(kConnectionRefused);
+      case TunnelReply::kDeadlineExceeded: return FormatReply(kHostUnreachable);
     }
-    return ReplyText(kGeneralFailure);
+    return FormatReply(kGeneralFailure);
   }
 
  private:
-  enum class Stage { kMethods, kPassword, kRequest };
-  static unsigned char At(const std::string& in, std::size_t i) { return static_cast<unsigned char>(in[i]); }
-
-  // Another version's client would not understand an answer: it gets none.
-  Step Methods(std::string& in) {
-    if (!in.empty() && At(in, 0) != kVersion) return Refuse("", "not SOCKS5");
-    if (in.size() < 2 || in.size() < 2u + At(in, 1)) return Step::kMore;
-    const unsigned char wanted = check_ ? kPassword : kNoCredentials;
-    const auto methods = std::string_view(in).substr(2, At(in, 1));
-    if (methods.find(static_cast<char>(wanted)) == std::string_view::npos) {
-      return Refuse(Bytes({kVersion, kNoMethod}), check_ ? "no credentials offered" : "no method in common");
+  enum class Stage { kMethods, kUsernamePassword, kRequest };
+  static unsigned char ByteAt(const std::string& input, std::size_t index) {
+    return static_cast<unsigned char>(input[index]);
+  }
+
+  // A client of another SOCKS version could not parse a SOCKS5 reply, so it gets none.
+  Step ReadMethods(std::string& input) {
+    if (!input.empty() && ByteAt(input, 0) != kSocksVersion) return Reject("", "not SOCKS5");
+    if (input.size() < 2 || input.size() < 2u + ByteAt(input, 1)) return Step::kMore;
+    const unsigned char requested = check_ ? kUsernamePassword : kNoAuthentication;
+    const auto methods = std::string_view(input).substr(2, ByteAt(input, 1));
+    if (methods.find(static_cast<char>(requested)) == std::string_view::npos) {
+      return Reject(Bytes({kSocksVersion, kNoAcceptableMethod}),
+                    check_ ? "no credentials offered" : "no method in common");
     }
-    in.erase(0, 2u + methods.size());
-    output_ += Bytes({kVersion, wanted});
-    stage_ = check_ ? Stage::kPassword : Stage::kRequest;
+    input.erase(0, 2u + methods.size());
+    output_ += Bytes({kSocksVersion, requested});
+    stage_ = check_ ? Stage::kUsernamePassword : Stage::kRequest;
     return Step::kMore;
   }
 
-  Step Password(std::string& in) {
-    if (!in.empty() && At(in, 0) != kPasswordVersion) {
-      return Refuse(Bytes({kPasswordVersion, 1}), "credentials of another version");
+  Step ReadPassword(std::string& input) {
+    if (!input.empty() && ByteAt(input, 0) != kPasswordAuthVersion) {
+      return Reject(Bytes({kPasswordAuthVersion, 1}), "credentials of another version");
     }
-    if (in.size() < 2) return Step::kMore;
-    const std::size_t user = At(in, 1);
-    if (in.size() < 3 + user) return Step::kMore;
-    const std::size_t password = At(in, 2 + user);
-    if (in.size() < 3 + user + password) return Step::kMore;
-    user_ = in.substr(2, user);
-    if (!check_(user_, std::string_view(in).substr(3 + user, password))) {
-      return Refuse(Bytes({kPasswordVersion, 1}), "wrong credentials");
+    if (input.size() < 2) return Step::kMore;
+    const std::size_t user = ByteAt(input, 1);
+    if (input.size() < 3 + user) return Step::kMore;
+    const std::size_t password = ByteAt(input, 2 + user);
+    if (input.size() < 3 + user + password) return Step::kMore;
+    user_ = input.substr(2, user);
+    if (!check_(user_, std::string_view(input).substr(3 + user, password))) {
+      return Reject(Bytes({kPasswordAuthVersion, 1}), "wrong credentials");
     }
-    in.erase(0, 3 + user + password);
-    output_ += Bytes({kPasswordVersion, 0});
+    input.erase(0, 3 + user + password);
+    output_ += Bytes({kPasswordAuthVersion, 0});
     stage_ = Stage::kRequest;
     return Step::kMore;
   }
 
-  // The whole request is read before any refusal, so that no byte of it is left to reset the connection.
-  Step Ask(std::string& in) {
-    if (!in.empty() && At(in, 0) != kVersion)
-      return Refuse(ReplyText(kGeneralFailure), "a request of another version");
-    if (in.size() < 4) return Step::kMore;
-    const unsigned char form = At(in, 3);
-    if (form != 1 && form != 3 && form != 4)
-      return Refuse(ReplyText(kUnknownAddress), "unknown form of address");
-    if (in.size() < 5) return Step::kMore;
-    const std::size_t size = form == 1 ? 4 : form == 4 ? 16 : 1u + At(in, 4);
-    if (in.size() < 4 + size + 2) return Step::kMore;
-    const std::string address = in.substr(4, size);
-    const auto port = static_cast<std::uint16_t>(At(in, 4 + size) << 8 | At(in, 5 + size));
-    const unsigned char command = At(in, 1);
-    in.erase(0, 4 + size + 2);
-    if (command != 1) return Refuse(ReplyText(kUnknownCommand), "another command than CONNECT");
-    std::string why;
-    const auto wanted = MakeDestination(Host(form, address), port, why);
-    if (!wanted) return Refuse(ReplyText(kGeneralFailure), "bad destination: " + why);
-    destination_ = *wanted;
-    return Step::kAsked;
+  // If the length of the request is known, reads all of it before rejecting it: closing a connection with
+  // unread bytes resets it, and the client could lose the reply.
+  Step ReadRequest(std::string& input) {
+    if (!input.empty() && ByteAt(input, 0) != kSocksVersion)
+      return Reject(FormatReply(kGeneralFailure), "a request of another version");
+    if (input.size() < 4) return Step::kMore;
+    const unsigned char address_type = ByteAt(input, 3);
+    if (address_type != 1 && address_type != 3 && address_type != 4)
+      return Reject(FormatReply(kAddressTypeNotSupported), "unknown form of address");
+    if (input.size() < 5) return Step::kMore;
+    const std::size_t size = address_type == 1 ? 4 : address_type == 4 ? 16 : 1u + ByteAt(input, 4);
+    if (input.size() < 4 + size + 2) return Step::kMore;
+    const std::string address = input.substr(4, size);
+    const auto port = static_cast<std::uint16_t>(ByteAt(input, 4 + size) << 8 | ByteAt(input, 5 + size));
+    const unsigned char command = ByteAt(input, 1);
+    input.erase(0, 4 + size + 2);
+    if (command != 1) return Reject(FormatReply(kCommandNotSupported), "another command than CONNECT");
+    std::string error;
+    const auto requested = MakeDestination(FormatHost(address_type, address), port, error);
+    if (!requested) return Reject(FormatReply(kGeneralFailure), "bad destination: " + error);
+    destination_ = *requested;
+    return Step::kRequestComplete;
   }
 
-  static std::string Host(unsigned char form, const std::string& bytes) {
-    if (form == 3) return bytes.substr(1);
-    if (form == 1) {
-      ip::address_v4::bytes_type four;
-      std::copy(bytes.begin(), bytes.end(), four.begin());
-      return ip::address_v4(four).to_string();
+  static std::string FormatHost(unsigned char address_type, const std::string& bytes) {
+    if (address_type == 3) return bytes.substr(1);
+    if (address_type == 1) {
+      ip::address_v4::bytes_type ipv4_bytes;
+      std::copy(bytes.begin(), bytes.end(), ipv4_bytes.begin());
+      return ip::address_v4(ipv4_bytes).to_string();
     }
-    ip::address_v6::bytes_type sixteen;
-    std::copy(bytes.begin(), bytes.end(), sixteen.begin());
-    return ip::address_v6(sixteen).to_string();
+    ip::address_v6::bytes_type ipv6_bytes;
+    std::copy(bytes.begin(), bytes.end(), ipv6_bytes.begin());
+    return ip::address_v6(ipv6_bytes).to_string();
   }
 
   const Check check_;
--- a/src/fronts/tunnel/tunnel.cpp
+++ b/src/fronts/tunnel/tunnel.cpp
@@ -15,31 +15,32 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-constexpr int kTurns = 8;            // pieces that one tunnel passes on before others have their turn
-constexpr Millis kBeginning = 1000;  // a host that resets within it, and has said nothing, is held against
+constexpr int kMaxReceivesPerEvent = 8;  // so that a busy tunnel does not delay the others
+// A reset by the host in this period after the start, before it has sent anything, counts as its failure.
+constexpr Millis kStartFailurePeriod = 1000;
 
 bool WouldBlock() { return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR; }
 
 }  // namespace
 
-Tunnel::Tunnel(TunnelFacts facts, Socket client, Socket host, SharedPiece& piece, Ended ended)
-    : facts_(std::move(facts)),
+Tunnel::Tunnel(TunnelInfo info, Socket client, Socket host, RelayBuffer& relay_buffer, EndedHandler ended)
+    : info_(std::move(info)),
       client_(std::move(client)),
       host_(std::move(host)),
-      piece_(piece),
-      ended_(std::move(ended)),
+      relay_buffer_(relay_buffer),
+      on_ended_(std::move(ended)),
       up_{client_, host_, {}},
       down_{host_, client_, {}},
       last_active_(core::Now()) {}
 
-void Tunnel::Start(Way up, Way down) {
-  up_.way = std::move(up);
-  down_.way = std::move(down);
+void Tunnel::Start(DirectionState up, DirectionState down) {
+  up_.state = std::move(up);
+  down_.state = std::move(down);
   const auto self = shared_from_this();
   AwaitError(client_);
   AwaitError(host_);
-  Run(down_);
-  if (!closed_) Run(up_);
+  Relay(down_);
+  if (!closed_) Relay(up_);
 }
 
 void Tunnel::Close(const std::string& cause, bool reset, core::TunnelEnd end) {
@@ -50,141 +51,152 @@
     if (reset) socket->set_option(asio::socket_base::linger(true, 0), ignored);
     socket->close(ignored);
   }
-  const auto ended = std::exchange(ended_, nullptr);
+  const auto ended = std::exchange(on_ended_, nullptr);
   ended(*this, cause, end);
 }
 
-void Tunnel::Run(Flow& flow) {
-  for (int turn = 0; turn < kTurns; ++turn) {
-    if (!flow.way.left.empty() && !Flush(flow)) return;
-    if (flow.way.ended) return Finish(flow);
-    const ssize_t got = ::recv(flow.from.native_handle(), piece_.data(), piece_.size(), MSG_DONTWAIT);
-    if (got < 0) return WouldBlock() ? AwaitRead(flow) : Broke(flow.from);
-    if (got == 0) {
-      flow.way.ended = true;
+void Tunnel::Relay(Flow& flow) {
+  for (int receives = 0; receives < kMaxReceivesPerEvent; ++receives) {
+    if (!flow.state.left.empty() && !Flush(flow)) return;
+    if (flow.state.ended) return PropagateEndOfStream(flow);
+    const ssize_t received =
+        ::recv(flow.from.native_handle(), relay_buffer_.data(), relay_buffer_.size(), MSG_DONTWAIT);
+    if (received < 0) return WouldBlock() ? AwaitReadable(flow) : OnSocketError(flow.from);
+    if (received == 0) {
+      flow.state.ended = true;
       continue;
     }
     last_active_ = core::Now();
-    flow.way.bytes += static_cast<std::uint64_t>(got);
-    const auto all = static_cast<std::size_t>(got);
-    ssize_t sent = ::send(flow.to.native_handle(), piece_.data(), all, MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (sent < 0 && !WouldBlock()) return Broke(flow.to);
+    flow.state.bytes += static_cast<std::uint64_t>(received);
+    const auto received_bytes = static_cast<std::size_t>(received);
+    ssize_t sent =
+        ::send(flow.to.native_handle(), relay_buffer_.data(), received_bytes, MSG_NOSIGNAL | MSG_DONTWAIT);
+    if (sent < 0 && !WouldBlock()) return OnSocketError(flow.to);
     sent = std::max<ssize_t>(0, sent);
-    if (static_cast<std::size_t>(sent) < all) {
-      flow.way.left.assign(piece_.data() + sent, all - static_cast<std::size_t>(sent));
-      return AwaitRoom(flow);
+    if (static_cast<std::size_t>(sent) < received_bytes) {
+      flow.state.left.assign(relay_buffer_.data() + sent, received_bytes - static_cast<std::size_t>(sent));
+      return AwaitWritable(flow);
     }
-    if (all < piece_.size()) break;  // no more for now
+    if (received_bytes < relay_buffer_.size()) break;  // the socket had no more data
   }
-  AwaitRead(flow);
+  AwaitReadable(flow);
 }
 
 bool Tunnel::Flush(Flow& flow) {
-  std::string& left = flow.way.left;
+  std::string& left = flow.state.left;
   const ssize_t sent = ::send(flow.to.native_handle(), left.data(), left.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
   if (sent < 0 && !WouldBlock()) {
-    Broke(flow.to);
+    OnSocketError(flow.to);
     return false;
   }
   if (sent > 0) last_active_ = core::Now();
   left.erase(0, static_cast<std::size_t>(std::max<ssize_t>(0, sent)));
   if (left.empty()) {
-    std::string().swap(left);  // an idle tunnel holds no buffer
+    std::string().swap(left);  // frees the memory: an idle tunnel holds no buffer
     return true;
   }
-  AwaitRoom(flow);
+  AwaitWritable(flow);
   return false;
 }
 
-void Tunnel::AwaitRead(Flow& flow) {
+void Tunnel::AwaitReadable(Flow& flow) {
   if (std::exchange(flow.waiting, true)) return;
   flow.from.async_wait(Socket::wait_read, [this, self = shared_from_this(), &flow](error_code) {
     flow.waiting = false;
-    if (!closed_) Run(flow);
+    if (!closed_) Relay(flow);
   });
 }
 
-void Tunnel::AwaitRoom(Flow& flow) {
+void Tunnel::AwaitWritable(Flow& flow) {
   if (std::exchange(flow.waiting, true)) return;
   flow.to.async_wait(Socket::wait_write, [this, self = shared_from_this(), &flow](error_code) {
     flow.waiting = false;
-    if (!closed_) Run(flow);
+    if (!closed_) Relay(flow);
   });
 }
 
-// A side that is not read from, for the other takes nothing or it has ended, can still reset.
+// Detects the reset of a side that is not being read from, because the other side accepts no data or because
+// this side has ended its stream.
 void Tunnel::AwaitError(Socket& socket) {
   socket.async_wait(Socket::wait_error, [this, self = shared_from_this(), &socket](error_code ec) {
     if (closed_ || ec) return;
     Flow& flow = &socket == &client_ ? up_ : down_;
-    if (!flow.way.ended && flow.way.left.empty()) Run(flow);  // what came before the reset
+    if (!flow.state.ended && flow.state.left.empty()) Relay(flow);  // relays what arrived before the reset
     if (closed_) return;
     int error = 0;
     socklen_t size = sizeof error;
     ::getsockopt(socket.native_handle(), SOL_SOCKET, SO_ERROR, &error, &size);
-    if (error != 0) Broke(socket);
+    if (error != 0) OnSocketError(socket);
   });
 }
 
-void Tunnel::Finish(Flow& flow) {
-  if (!std::exchange(flow.way.shut, true)) {
+void Tunnel::PropagateEndOfStream(Flow& flow) {
+  if (!std::exchange(flow.state.shut, true)) {
     error_code ignored;
     flow.to.shutdown(Socket::shutdown_send, ignored);
   }
-  if (up_.way.shut && down_.way.shut) Close("ended", false);
+  if (up_.state.shut && down_.state.shut) Close("ended", false);
 }
 
-void Tunnel::Broke(const Socket& by) {
-  const bool host = &by == &host_;
-  const bool early = host && down_.way.bytes == 0 && core::Now() < facts_.since + kBeginning;
+void Tunnel::OnSocketError(const Socket& failed_socket) {
+  const bool host = &failed_socket == &host_;
+  const bool failed_at_start =
+      host && down_.state.bytes == 0 && core::Now() < info_.since + kStartFailurePeriod;
   Close(host ? "reset by host" : "reset by client", true,
-        early ? core::TunnelEnd::kFailedAtStart : core::TunnelEnd::kClosed);
+        failed_at_start ? core::TunnelEnd::kFailedAtStart : core::TunnelEnd::kClosed);
 }
 
-bool Tunnel::PassOn(const Pass& pass) {
+bool Tunnel::PassToSuccessor(const PassDescriptors& pass_descriptors) {
   if (closed_) return false;
-  const auto text_of = [](const Way& way) {
-    return json{{"left", way.left.size()}, {"bytes", way.bytes}, {"ended", way.ended}, {"shut", way.shut}};
+  const auto serialize_direction = [](const DirectionState& state) {
+    return json{
+        {"left", state.left.size()}, {"bytes", state.bytes}, {"ended", state.ended}, {"shut", state.shut}};
   };
-  const json head = {{"client", facts_.client}, {"user", facts_.user},    {"to", facts_.to},
-                     {"route", facts_.route},   {"pool", facts_.pool},    {"host", facts_.host},
-                     {"since", facts_.since},   {"up", text_of(up_.way)}, {"down", text_of(down_.way)}};
+  const json header = {{"client", info_.client},
+                       {"user", info_.user},
+                       {"to", info_.to},
+                       {"route", info_.route},
+                       {"pool", info_.pool},
+                       {"host", info_.host},
+                       {"since", info_.since},
+                       {"up", serialize_direction(up_.state)},
+                       {"down", serialize_direction(down_.state)}};
   const std::string text =
-      head.dump(-1, ' ', false, json::error_handler_t::replace) + "\n" + up_.way.left + down_.way.left;
-  if (!pass(client_.native_handle(), host_.native_handle(), text)) return false;
+      header.dump(-1, ' ', false, json::error_handler_t::replace) + "\n" + up_.state.left + down_.state.left;
+  if (!pass_descriptors(client_.native_handle(), host_.native_handle(), text)) return false;
   Close("passed on", false, core::TunnelEnd::kHandedOver);
   return true;
 }
 
-std::optional<Tunnel::Passed> Tunnel::Parse(std::string_view text) {
-  const std::size_t line = text.find('\n');
-  if (line == std::string_view::npos) return std::nullopt;
+std::optional<Tunnel::SavedState> Tunnel::Parse(std::string_view text) {
+  const std::size_t header_end = text.find('\n');
+  if (header_end == std::string_view::npos) return std::nullopt;
   try {
-    const json head = json::parse(text.substr(0, line));
-    std::string_view rest = text.substr(line + 1);
-    const auto way_of = [&rest](const json& in) {
-      Way way;
-      const auto left = in.at("left").get<std::size_t>();
-      if (left > rest.size()) throw std::length_error("left");
-      way.left = rest.substr(0, left);
-      rest.remove_prefix(left);
-      way.bytes = in.at("bytes").get<std::uint64_t>();
-      way.ended = in.at("ended").get<bool>();
-      way.shut = in.at("shut").get<bool>();
-      return way;
+    const json header = json::parse(text.substr(0, header_end));
+    std::string_view unparsed = text.substr(header_end + 1);
+    const auto parse_direction = [&unparsed](const json& fields) {
+      DirectionState state;
+      const auto left = fields.at("left").get<std::size_t>();
+      if (left > unparsed.size()) throw std::length_error("left");
+      state.left = unparsed.substr(0, left);
+      unparsed.remove_prefix(left);
+      state.bytes = fields.at("bytes").get<std::uint64_t>();
+      state.ended = fields.at("ended").get<bool>();
+      state.shut = fields.at("shut").get<bool>();
+      return state;
     };
-    Passed passed;
-    passed.facts = {0,
-                    head.at("client").get<std::string>(),
-                    head.at("user").get<std::string>(),
-                    head.at("to").get<std::string>(),
-                    head.at("route").get<std::string>(),
-                    head.at("pool").get<std::string>(),
-                    head.at("host").get<std::string>(),
-                    head.at("since").get<Millis>()};
-    passed.up = way_of(head.at("up"));
-    passed.down = way_of(head.at("down"));
-    return passed;
+    SavedState saved;
+    saved.info = {0,
+                  header.at("client").get<std::string>(),
+                  header.at("user").get<std::string>(),
+                  header.at("to").get<std::string>(),
+                  header.at("route").get<std::string>(),
+                  header.at("pool").get<std::string>(),
+                  header.at("host").get<std::string>(),
+                  header.at("since").get<Millis>()};
+    saved.up = parse_direction(header.at("up"));
+    saved.down = parse_direction(header.at("down"));
+    return saved;
   } catch (const std::exception&) {
     return std::nullopt;
   }
--- a/src/fronts/tunnel/tunnel.hpp
+++ b/src/fronts/tunnel/tunnel.hpp
@@ -1,6 +1,6 @@
-// An open tunnel: a client, a host, and what crosses between them. Nothing is held while nothing crosses:
-// what can be read goes through one piece that all tunnels share, and only what the other side did not take
-// is kept.
+/// @file
+/// An open tunnel: relays the bytes between a client and a host. An idle tunnel holds no buffer: data is
+/// received into one buffer that all tunnels share, and only what the other side did not accept is kept.
 #ifndef MEADOWYARD_FRONTS_TUNNEL_TUNNEL_HPP_
 #define MEADOWYARD_FRONTS_TUNNEL_TUNNEL_HPP_
 
@@ -18,72 +18,81 @@
 
 namespace meadowyard {
 
-constexpr std::size_t kTunnelPiece = 32 * 1024;  // held each way at the most
-using SharedPiece = std::array<char, kTunnelPiece>;
+/// Also the most that a tunnel keeps in each direction once its initial data is sent.
+constexpr std::size_t kRelayBufferBytes = 32 * 1024;
+using RelayBuffer = std::array<char, kRelayBufferBytes>;
 
-struct TunnelFacts {
-  std::uint64_t id = 0;  // of this process
+/// Describes a tunnel for status and logs; `since` is the time at which it opened.
+struct TunnelInfo {
+  std::uint64_t id = 0;  // unique within this process
   std::string client, user, to, route, pool, host;
   Millis since = 0;
 };
 
+/// Relays between two sockets, which it owns, until both directions have ended, a side resets, or Close() is
+/// called.
 class Tunnel : public std::enable_shared_from_this<Tunnel> {
  public:
   using Socket = boost::asio::ip::tcp::socket;
-  // `ended` is told once, with the cause, when both sockets are closed.
-  using Ended = std::function<void(Tunnel& tunnel, const std::string& cause, core::TunnelEnd end)>;
-  // What stands for each way at its beginning: bytes that were read but not yet passed on, whether its source
-  // has ended, and whether that was passed on.
-  struct Way {
+  /// Called once, with the cause, after both sockets are closed.
+  using EndedHandler = std::function<void(Tunnel& tunnel, const std::string& cause, core::TunnelEnd end)>;
+  /// The state of one direction: data that was received but not yet sent (`left`), the number of bytes
+  /// received
+  /// (`bytes`), whether the source has ended its stream (`ended`), and whether that end was propagated to the
+  /// other side (`shut`).
+  struct DirectionState {
     std::string left;
     std::uint64_t bytes = 0;
     bool ended = false, shut = false;
   };
-  Tunnel(TunnelFacts facts, Socket client, Socket host, SharedPiece& piece, Ended ended);
+  Tunnel(TunnelInfo info, Socket client, Socket host, RelayBuffer& relay_buffer, EndedHandler ended);
 
-  void Start(Way up, Way down);
-  // Closes both sides; with a reset the peers learn that it did not end well.
+  /// Begins to relay, from the given state of each direction.
+  void Start(DirectionState up, DirectionState down);
+  /// Closes both sockets; with `reset`, by a TCP reset, which shows both peers that the tunnel ended
+  /// abnormally.
   void Close(const std::string& cause, bool reset, core::TunnelEnd end = core::TunnelEnd::kClosed);
 
-  const TunnelFacts& facts() const { return facts_; }
-  std::uint64_t bytes_up() const { return up_.way.bytes; }
-  std::uint64_t bytes_down() const { return down_.way.bytes; }
+  const TunnelInfo& info() const { return info_; }
+  std::uint64_t bytes_up() const { return up_.state.bytes; }
+  std::uint64_t bytes_down() const { return down_.state.bytes; }
   Millis last_active() const { return last_active_; }
-  // Since when its host is to be left; 0: it is not.
-  Millis condemned = 0;
+  /// Since when the host may not be used any more, which starts the drain grace period; 0: it may be used.
+  Millis unusable_since = 0;
 
-  // For another process: gives both descriptors and what is half written to `pass`; if that is taken, the
-  // tunnel goes on there and ends here. False: it stays.
-  using Pass = std::function<bool(int client, int host, std::string_view text)>;
-  bool PassOn(const Pass& pass);
-  // The way back: facts and ways as the text has them; nothing if it is broken.
-  struct Passed {
-    TunnelFacts facts;
-    Way up, down;
+  /// Hands the tunnel over to another process: calls `pass_descriptors` with both descriptors and the
+  /// serialized state, including the bytes not yet sent. If that succeeds, the other process continues the
+  /// tunnel, and it ends here. False: the tunnel remains in this process.
+  using PassDescriptors = std::function<bool(int client, int host, std::string_view text)>;
+  bool PassToSuccessor(const PassDescriptors& pass_descriptors);
+  /// Parses the text of PassToSuccessor(); nullopt if it is malformed.
+  struct SavedState {
+    TunnelInfo info;
+    DirectionState up, down;
   };
-  static std::optional<Passed> Parse(std::string_view text);
+  static std::optional<SavedState> Parse(std::string_view text);
 
  private:
   struct Flow {
     Socket& from;
     Socket& to;
-    Way way;
-    bool waiting = false;  // for its source, or for room at the other side
+    DirectionState state;
+    bool waiting = false;  // for its source to become readable, or the other side to become writable
   };
-  void Run(Flow& flow);
-  // False: not all could be written now, or the tunnel is closed.
+  void Relay(Flow& flow);
+  // Sends `left`. False: not all of it could be sent now, or the tunnel is closed.
   bool Flush(Flow& flow);
-  void AwaitRead(Flow& flow);
-  void AwaitRoom(Flow& flow);
+  void AwaitReadable(Flow& flow);
+  void AwaitWritable(Flow& flow);
   void AwaitError(Socket& socket);
-  void Finish(Flow& flow);
-  void Broke(const Socket& by);
+  void PropagateEndOfStream(Flow& flow);
+  void OnSocketError(const Socket& failed_socket);
 
-  TunnelFacts facts_;
+  TunnelInfo info_;
   Socket client_, host_;
-  SharedPiece& piece_;
-  Ended ended_;
-  Flow up_, down_;  // from the client to the host, and back
+  RelayBuffer& relay_buffer_;
+  EndedHandler on_ended_;
+  Flow up_, down_;  // from the client to the host, and from the host to the client
   Millis last_active_;
   bool closed_ = false;
 };
--- a/src/fronts/tunnel/tunnel_server.hpp
+++ b/src/fronts/tunnel/tunnel_server.hpp
@@ -1,4 +1,5 @@
-// The tunnels' front: listeners, handshakes under way, and the tunnels that are open.
+/// @file
+/// The tunnel front: the SOCKS5 and HTTP CONNECT listeners, the handshakes in progress and the open tunnels.
 #ifndef MEADOWYARD_FRONTS_TUNNEL_TUNNEL_SERVER_HPP_
 #define MEADOWYARD_FRONTS_TUNNEL_TUNNEL_SERVER_HPP_
 
@@ -22,14 +23,20 @@
 
 namespace meadowyard {
 
+/// Accepts clients, routes and admits their tunnel requests, and owns the open tunnels.
 class TunnelServer {
  public:
+  /// Calls to the rest of the gateway.
   struct Handlers {
-    std::function<bool()> ready;
-    std::function<void(const Route& route, core::ClientRequest request)> take;
-    std::function<void(const std::string& pool, const std::string& id)> left;
-    // Why nothing new may go to a host; empty: it may.
-    std::function<std::string(const std::string& pool, const std::string& host)> unusable;
+    // Whether requests may be submitted.
+    std::function<bool()> is_ready;
+    // Submits a tunnel request to the core of the route's pool.
+    std::function<void(const Route& route, core::ClientRequest request)> submit;
+    // Withdraws a request whose client has disconnected.
+    std::function<void(const std::string& pool, const std::string& id)> on_client_disconnected;
+    // Why a host may not be used for new tunnels; empty: it may be used.
+    std::function<std::string(const std::string& pool, const std::string& host)> unusable_reason;
+    // Counts a tunnel that another process opened. The result must be called when the tunnel ends.
     std::function<std::function<void(core::TunnelEnd)>(const std::string& pool, const std::string& host)>
         adopt;
     std::function<void(const std::string& event,
@@ -39,28 +46,35 @@
   TunnelServer(boost::asio::io_context& io, std::shared_ptr<const EdgeConfig> config, Handlers handlers);
   ~TunnelServer();
 
-  // Opens the listeners that the file has and closes those that it has no more. `inherited`: sockets that
-  // another process listens at, by address; those not needed are closed. Throws boost::system::system_error,
-  // with nothing changed, if one can't be opened.
+  /// Opens the listeners that the file adds and closes those that it removes. `inherited`: listening sockets
+  /// of another process, by protocol and address; those not needed are closed. Throws
+  /// boost::system::system_error, with nothing changed, if a listener can't be opened.
   void Listen(const std::shared_ptr<const EdgeConfig>& config,
               const std::map<std::string, int>& inherited = {});
-  // The same with the rest of the file: limits, users, routes. Open tunnels stay.
+  /// Applies the other settings of the file: limits, users and routes. Open tunnels stay open.
   void Configure(std::shared_ptr<const EdgeConfig> config);
-  // By protocol and address as the file has it.
+  /// The listening sockets, by protocol and address as configured in the file.
   std::vector<std::pair<std::string, int>> listeners();
+  /// The addresses that the listeners are bound to, in the order of the file.
   std::vector<boost::asio::ip::tcp::endpoint> addresses() const;
 
-  // The list of hosts or what operators took out has changed: tunnels to hosts that are to be left are
-  // closed.
+  /// To be called when the list of hosts or their maintenance state has changed: closes the tunnels to hosts
+  /// that have been unusable for the drain grace period.
   void HostsChanged();
-  // Nothing is accepted any more; `emptied` follows when the last tunnel has ended, at once if there is none.
-  void Drain(std::function<void()> emptied);
+  /// Stops accepting clients and calls `on_drained` when the last tunnel and session have ended, or as soon
+  /// as possible if there is none.
+  void Drain(std::function<void()> on_drained);
+  /// Closes all tunnels, with this cause, and all sessions.
   void CloseAll(const std::string& cause);
+  /// Closes a tunnel for the operator; false if there is no such tunnel.
   bool CloseOne(std::uint64_t id);
 
-  // Another process serves: each tunnel goes to `pass` when it can.
-  void HandOver(Tunnel::Pass pass);
-  void TakeBack();
+  /// The successor process serves now: stops accepting clients and passes the tunnels to it, with retries
+  /// until it has accepted all of them.
+  void HandOver(Tunnel::PassDescriptors pass_descriptors);
+  /// Accepts clients again after the successor process was lost, and keeps the remaining tunnels.
+  void ResumeServing();
+  /// Continues a tunnel of the predecessor process; takes ownership of both descriptors.
   void Adopt(int client, int host, std::string_view text);
 
   std::size_t open() const { return tunnels_.size(); }
@@ -69,38 +83,41 @@
  private:
   class Session;
   struct Listener {
-    Listener(boost::asio::io_context& io, const EdgeListener& l) : spec(l), acceptor(io), again(io) {}
-    EdgeListener spec;  // with the address as the file has it
+    Listener(boost::asio::io_context& io, const EdgeListener& edge_listener)
+        : spec(edge_listener), acceptor(io), retry_timer(io) {}
+    EdgeListener spec;  // with the address as configured in the file
     boost::asio::ip::tcp::acceptor acceptor;
-    boost::asio::steady_timer again;
+    boost::asio::steady_timer retry_timer;
     bool accepting = false;
   };
   void Accept(const std::shared_ptr<Listener>& listener);
   void EvictOldest();
-  void Closed(const std::shared_ptr<Session>& session);
-  void Open(TunnelFacts facts, boost::asio::ip::tcp::socket client, core::Answer answer, Tunnel::Way up,
-            Tunnel::Way down);
-  void Run(TunnelFacts facts, boost::asio::ip::tcp::socket client, boost::asio::ip::tcp::socket host,
-           Tunnel::Way up, Tunnel::Way down, std::function<void(core::TunnelEnd)> closed);
-  void Ended(Tunnel& tunnel, const std::string& cause);
+  void OnSessionClosed(const std::shared_ptr<Session>& session);
+  void OpenTunnel(TunnelInfo info, boost::asio::ip::tcp::socket client, core::Answer answer,
+                  Tunnel::DirectionState up, Tunnel::DirectionState down);
+  void StartTunnel(TunnelInfo info, boost::asio::ip::tcp::socket client, boost::asio::ip::tcp::socket host,
+                   Tunnel::DirectionState up, Tunnel::DirectionState down,
+                   std::function<void(core::TunnelEnd)> closed);
+  void OnTunnelEnded(Tunnel& tunnel, const std::string& cause);
   void Sweep();
-  void PassAll();
-  bool Check(std::string_view user, std::string_view password) const;
+  void PassTunnels();
+  bool CheckCredentials(std::string_view user, std::string_view password) const;
 
   boost::asio::io_context& io_;
   std::shared_ptr<const EdgeConfig> config_;
   const Handlers handlers_;
   Admission admission_;
   std::vector<std::shared_ptr<Listener>> listeners_;
-  std::list<std::shared_ptr<Session>> sessions_;  // the oldest first
+  std::list<std::shared_ptr<Session>> sessions_;  // oldest first
   std::unordered_map<std::uint64_t, std::shared_ptr<Tunnel>> tunnels_;
-  SharedPiece piece_;
-  Tunnel::Pass pass_;
-  boost::asio::steady_timer sweep_;
-  std::function<void()> emptied_;
-  std::uint64_t next_ = 1;
-  std::map<std::string, std::uint64_t> asked_, ended_;  // by what became of it, by cause
-  bool stopping_ = false;
+  RelayBuffer relay_buffer_;
+  Tunnel::PassDescriptors pass_descriptors_;
+  boost::asio::steady_timer sweep_timer_;
+  std::function<void()> on_drained_;
+  std::uint64_t next_id_ = 1;
+  // Counts of tunnel requests by outcome, and of ended tunnels by cause.
+  std::map<std::string, std::uint64_t> request_outcomes_, end_causes_;
+  bool draining_ = false;
 };
 
 }  // namespace meadowyard
--- a/src/lab/parent_proxy.cpp
+++ b/src/lab/parent_proxy.cpp
@@ -41,7 +41,7 @@
     Say(handshake->TakeOutput(), [this, step] {
       if (step == Handshake::Step::kMore) return Read();
       const auto& to = handshake->destination();
-      if (step == Handshake::Step::kRefused) return Close();
+      if (step == Handshake::Step::kRejected) return Close();
       if (mood == Mood::kRefuses || !to.address) {
         return Say(handshake->Reply(TunnelReply::kDenied, 0, {}), [this] { Close(); });
       }
--- a/tests/tunnel_parts_test.cpp
+++ b/tests/tunnel_parts_test.cpp
@@ -222,7 +222,7 @@
     outcome.output += handshake.TakeOutput();
     if (outcome.step != Handshake::Step::kMore) in += text.substr(at);
   }
-  if (outcome.step == Handshake::Step::kAsked) outcome.to = handshake.destination().ToText();
+  if (outcome.step == Handshake::Step::kRequestComplete) outcome.to = handshake.destination().ToText();
   outcome.user = handshake.user();
   outcome.unread = in;
   return outcome;
@@ -290,7 +290,8 @@
     for (std::size_t cut = 0; cut <= cuts; ++cut) {
       const auto handshake = CreateHandshake(c.socks, c.with_credentials);
       const HandshakeResult outcome = FeedInPieces(*handshake, c.input, cut, cut == cuts);
-      EXPECT_EQ(outcome.step, c.to.empty() ? Handshake::Step::kRefused : Handshake::Step::kAsked) << cut;
+      EXPECT_EQ(outcome.step, c.to.empty() ? Handshake::Step::kRejected : Handshake::Step::kRequestComplete)
+          << cut;
       EXPECT_EQ(outcome.to, c.to) << cut;
       if (c.unread != "*") {
         EXPECT_EQ(outcome.unread, c.unread) << cut;
@@ -335,10 +336,10 @@
     }
     const auto handshake = CreateHandshake(socks, true);
     const HandshakeResult outcome = FeedInPieces(*handshake, text, random() % (text.size() + 1));
-    requested += outcome.step == Handshake::Step::kAsked;
-    rejected += outcome.step == Handshake::Step::kRefused;
+    requested += outcome.step == Handshake::Step::kRequestComplete;
+    rejected += outcome.step == Handshake::Step::kRejected;
     waiting += outcome.step == Handshake::Step::kMore;
-    if (outcome.step != Handshake::Step::kAsked) continue;
+    if (outcome.step != Handshake::Step::kRequestComplete) continue;
     ASSERT_EQ(outcome.user, "scanner");  // no client gets this far without credentials
     // The destination's text form parses to the same route, so that it can't be routed differently when it is
     // parsed again.
