--- a/tests/tunnel_process_test.cpp
+++ b/tests/tunnel_process_test.cpp
@@ -1,4 +1,5 @@
-// Tunnels through the real program: with curl as the client, and across a change of version.
+// Tests of tunnels through the gateway program in a process of its own: with curl as the client, and across a
+// hot restart.
 #include <gtest/gtest.h>
 
 #include <future>
@@ -10,13 +11,15 @@
 namespace meadowyard::testing {
 namespace {
 
-struct Program {
-  explicit Program(const std::string& edge) {
+struct ProgramFixture {
+  explicit ProgramFixture(const std::string& edge) {
     char name[] = "/tmp/meadowyard-XXXXXX";
     folder = mkdtemp(name);
-    for (tcp::endpoint* at : {&listen, &open, &closed, &connect, &connect_closed}) *at = FreePort();
-    host.serve = [](const Peer::Taken& taken) {
-      taken.Answer(200, "hello " + std::string(taken.http.target()));
+    for (tcp::endpoint* listen_address :
+         {&listen, &socks, &socks_with_credentials, &connect, &connect_with_credentials})
+      *listen_address = FreePort();
+    host.serve = [](const Peer::Taken& request) {
+      request.Answer(200, "hello " + std::string(request.http.target()));
     };
     const nlohmann::json config = {{"seed", "1f"},
                                    {"discovery", ToText(discovery.address())},
@@ -25,15 +28,15 @@
                                    {"settings", TestSettings()}};
     std::ofstream(folder + "/config.json") << config;
     std::string text = "[tunnels]\nclass = \"tunnel\"\nmost = 700\n";
-    for (const auto& [protocol, at, asks] :
-         {std::tuple("socks5", open, false), std::tuple("socks5", closed, true),
-          std::tuple("connect", connect, false), std::tuple("connect", connect_closed, true)}) {
-      text += std::string("[[listener]]\nprotocol = \"") + protocol + "\"\naddress = \"" + ToText(at) +
-              "\"\ncredentials = " + (asks ? "true\n" : "false\n");
+    for (const auto& [protocol, listen_address, requires_credentials] :
+         {std::tuple("socks5", socks, false), std::tuple("socks5", socks_with_credentials, true),
+          std::tuple("connect", connect, false), std::tuple("connect", connect_with_credentials, true)}) {
+      text += std::string("[[listener]]\nprotocol = \"") + protocol + "\"\naddress = \"" +
+              ToText(listen_address) + "\"\ncredentials = " + (requires_credentials ? "true\n" : "false\n");
     }
     std::ofstream(folder + "/edge.toml") << text + edge;
   }
-  ~Program() {
+  ~ProgramFixture() {
     for (const std::string& file :
          {std::string("config.json"), std::string("edge.toml"), std::string("answer"),
           "meadowyard-" + listen.address().to_string() + "-" + std::to_string(listen.port())}) {
@@ -42,7 +45,7 @@
     rmdir(folder.c_str());
   }
   tcp::endpoint FreePort() { return Loopback(FreePortNumber()); }
-  // Starts a version and waits until it serves.
+  // Starts a process of the program and waits until it is serving.
   std::unique_ptr<Process> Start() {
     const tcp::endpoint admin = FreePort();
     auto process = std::make_unique<Process>(
@@ -59,13 +62,13 @@
       io.run_for(std::chrono::milliseconds(5));
       return false;
     })) << process->Errors();
-    Client caller(io, admin);
-    caller.Send("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
-    EXPECT_EQ(caller.Await().body(), "yes\n") << process->Errors();
+    Client admin_client(io, admin);
+    admin_client.Send("GET /status HTTP/1.1\r\nHost: x\r\n\r\n");
+    EXPECT_EQ(admin_client.Await().body(), "yes\n") << process->Errors();
     return process;
   }
-  // What a command's exit status is, with the peers alive meanwhile.
-  int Run(const std::string& command) {
+  // Returns the exit status of a shell command; the host and discovery peers are served while it runs.
+  int RunCommand(const std::string& command) {
     auto run = std::async(std::launch::async, [&] { return std::system(command.c_str()); });
     EXPECT_TRUE(
         RunUntil(io, [&] { return run.wait_for(std::chrono::seconds(0)) == std::future_status::ready; }));
@@ -75,7 +78,7 @@
   asio::io_context io;
   Peer discovery{io}, host{io};
   std::string folder;
-  tcp::endpoint listen, open, closed, connect, connect_closed;
+  tcp::endpoint listen, socks, socks_with_credentials, connect, connect_with_credentials;
 };
 
 const char* const kRoutes =
@@ -83,109 +86,120 @@
     "[[route]]\nname = \"shop\"\nsuffix = \"shop.internal\"\npool = \"fleet\"\n"
     "[[route]]\nname = \"loop\"\nnetwork = \"127.9.0.0/16\"\npool = \"fleet\"\n[default]\ndeny = true\n";
 
-// The table of docs/tunnels.md: curl's three ways, with no, right and wrong credentials, at both kinds of
-// listener.
-TEST(TunnelProgram, ServesCurl) {
-  Program p(kRoutes);
-  const auto process = p.Start();
-  const auto run = [&](const std::string& way, const tcp::endpoint& at, const std::string& user,
-                       const std::string& to) {
-    const std::string proxy = way == "--proxytunnel --proxy" ? "http://" + ToText(at) : ToText(at);
-    return p.Run("curl -sS --noproxy '' --max-time 20 -o " + p.folder + "/answer " + way + " " + proxy +
-                 (user.empty() ? "" : " --proxy-user " + user) + " " + to + " 2>/dev/null");
+// Guards the use of curl described in docs/tunnels.md: its three proxy options, with no, valid and wrong
+// credentials, on listeners that require credentials and listeners that don't.
+TEST(TunnelProgram, AcceptsCurlWithValidCredentialsOnly) {
+  ProgramFixture fixture(kRoutes);
+  const auto process = fixture.Start();
+  const auto run = [&](const std::string& proxy_option, const tcp::endpoint& listen_address,
+                       const std::string& credentials, const std::string& url) {
+    const std::string proxy =
+        proxy_option == "--proxytunnel --proxy" ? "http://" + ToText(listen_address) : ToText(listen_address);
+    return fixture.RunCommand(
+        "curl -sS --noproxy '' --max-time 20 -o " + fixture.folder + "/answer " + proxy_option + " " + proxy +
+        (credentials.empty() ? "" : " --proxy-user " + credentials) + " " + url + " 2>/dev/null");
   };
   const auto answer = [&] {
     std::stringstream text;
-    text << std::ifstream(p.folder + "/answer").rdbuf();
-    std::remove((p.folder + "/answer").c_str());
+    text << std::ifstream(fixture.folder + "/answer").rdbuf();
+    std::remove((fixture.folder + "/answer").c_str());
     return text.str();
   };
-  for (const std::string way : {"--socks5", "--socks5-hostname", "--proxytunnel --proxy"}) {
-    const std::string to = way == "--socks5" ? "http://127.9.0.1/x" : "http://www.shop.internal/x";
-    const bool socks = way.starts_with("--socks");
-    for (const bool asks : {false, true}) {
-      const tcp::endpoint at = socks ? asks ? p.closed : p.open : asks ? p.connect_closed : p.connect;
-      for (const std::string user : {"", "scanner:secret", "scanner:wrong"}) {
-        const bool good = !asks || user == "scanner:secret";
-        EXPECT_EQ(run(way, at, user, to) == 0, good)
-            << way << " " << asks << " " << user << process->Errors();
-        EXPECT_EQ(answer(), good ? "hello /x" : "") << way << " " << asks << " " << user;
+  for (const std::string proxy_option : {"--socks5", "--socks5-hostname", "--proxytunnel --proxy"}) {
+    const std::string url = proxy_option == "--socks5" ? "http://127.9.0.1/x" : "http://www.shop.internal/x";
+    const bool is_socks = proxy_option.starts_with("--socks");
+    for (const bool requires_credentials : {false, true}) {
+      const tcp::endpoint listen_address =
+          is_socks               ? requires_credentials ? fixture.socks_with_credentials : fixture.socks
+          : requires_credentials ? fixture.connect_with_credentials
+                                 : fixture.connect;
+      for (const std::string credentials : {"", "scanner:secret", "scanner:wrong"}) {
+        const bool allowed = !requires_credentials || credentials == "scanner:secret";
+        EXPECT_EQ(run(proxy_option, listen_address, credentials, url) == 0, allowed)
+            << proxy_option << " " << requires_credentials << " " << credentials << process->Errors();
+        EXPECT_EQ(answer(), allowed ? "hello /x" : "")
+            << proxy_option << " " << requires_credentials << " " << credentials;
       }
     }
-    EXPECT_NE(run(way, socks ? p.open : p.connect, "", "http://127.8.0.1/x"), 0);  // denied
+    // The routes deny this destination.
+    EXPECT_NE(run(proxy_option, is_socks ? fixture.socks : fixture.connect, "", "http://127.8.0.1/x"), 0);
   }
 }
 
-// Guards a new version under load: tunnels with a checked stream go on, half-written ones and half-closed
-// ones too.
-TEST(TunnelProgram, KeepsItsTunnelsAcrossAnUpgrade) {
-  Program p(
+// Guards against data that is lost, repeated or changed in a tunnel that is handed over to a new process
+// while data is in transit. At the end each client half-closes, and the end of its stream must come back from
+// the host.
+TEST(TunnelProgram, KeepsTunnelsAcrossAHotRestart) {
+  ProgramFixture fixture(
       "[[user]]\nname = \"u\"\npassword = \"p\"\n[[pool]]\nname = \"echo\"\n[[pool.host]]\nid = "
       "\"e\"\naddress = \"@\"\n[default]\npool = \"echo\"\n");
-  RawServer echo(p.io, RawServer::Echo);
+  RawServer echo(fixture.io, RawServer::Echo);
   std::stringstream text;
-  text << std::ifstream(p.folder + "/edge.toml").rdbuf();
+  text << std::ifstream(fixture.folder + "/edge.toml").rdbuf();
   std::string edge = text.str();
   edge.replace(edge.find('@'), 1, ToText(echo.address()));
-  std::ofstream(p.folder + "/edge.toml") << edge;
-  auto before = p.Start();
+  std::ofstream(fixture.folder + "/edge.toml") << edge;
+  auto old_process = fixture.Start();
   struct Stream {
     std::shared_ptr<RawEnd> end;
-    std::mt19937_64 said, heard;
+    std::mt19937_64 sent_pattern, expected_pattern;
     std::size_t checked = 0;
-    bool wrong = false;
+    bool mismatch = false;
   };
-  constexpr std::size_t kTunnels = 60, kPiece = 4096;
+  constexpr std::size_t kTunnelCount = 60, kPieceBytes = 4096;
   std::vector<std::unique_ptr<Stream>> streams;
-  bool flowing = true;
+  bool sending = true;
   std::size_t opened = 0;
-  const auto say = [&](Stream& s) {
-    std::string piece(kPiece, 0);
-    for (char& c : piece) c = static_cast<char>(s.said());
-    s.end->Say(std::move(piece));
+  const auto send_piece = [&](Stream& stream) {
+    std::string piece(kPieceBytes, 0);
+    for (char& c : piece) c = static_cast<char>(stream.sent_pattern());
+    stream.end->Say(std::move(piece));
   };
-  for (std::size_t i = 0; i < kTunnels; ++i) {
+  for (std::size_t i = 0; i < kTunnelCount; ++i) {
     streams.push_back(std::make_unique<Stream>());
-    Stream& s = *streams.back();
-    s.said.seed(i), s.heard.seed(i);
-    s.end = RawConnect(p.io, p.open);
-    s.end->keeps = false;
-    s.end->heard = [&, skip = kSocksReply](std::string_view bytes) mutable {
+    Stream& stream = *streams.back();
+    stream.sent_pattern.seed(i), stream.expected_pattern.seed(i);
+    stream.end = RawConnect(fixture.io, fixture.socks);
+    stream.end->keeps = false;
+    stream.end->heard = [&, reply_bytes_left = kSocksReply](std::string_view bytes) mutable {
       for (const char c : bytes) {
-        if (skip > 0) {
-          opened += --skip == 0;
+        if (reply_bytes_left > 0) {
+          opened += --reply_bytes_left == 0;
           continue;
         }
-        s.wrong = s.wrong || c != static_cast<char>(s.heard());
-        if (++s.checked % kPiece == 0 && flowing) say(s);
+        stream.mismatch = stream.mismatch || c != static_cast<char>(stream.expected_pattern());
+        if (++stream.checked % kPieceBytes == 0 && sending) send_piece(stream);
       }
     };
-    s.end->Say(SocksCall("x.y"));
-    say(s);
-    say(s);
+    stream.end->Say(SocksCall("x.y"));
+    send_piece(stream);
+    send_piece(stream);
   }
-  ASSERT_TRUE(RunUntil(p.io, [&] { return opened == kTunnels; })) << before->Errors();
-  const auto least = [&] {
-    std::size_t n = streams[0]->checked;
-    for (const auto& s : streams) n = std::min(n, s->checked);
-    return n;
+  ASSERT_TRUE(RunUntil(fixture.io, [&] { return opened == kTunnelCount; })) << old_process->Errors();
+  const auto min_checked_bytes = [&] {
+    std::size_t minimum = streams[0]->checked;
+    for (const auto& stream : streams) minimum = std::min(minimum, stream->checked);
+    return minimum;
   };
-  ASSERT_TRUE(RunUntil(p.io, [&] { return least() >= 4 * kPiece; }));
-  const auto after = p.Start();
-  before->Terminate();
-  ASSERT_TRUE(RunUntil(p.io, [&] { return before->Ended(); }));
-  EXPECT_EQ(before->Wait(), 0);
-  const std::size_t mark = least();
-  ASSERT_TRUE(RunUntil(p.io, [&] { return least() >= mark + 20 * kPiece; })) << after->Errors();
-  flowing = false;
-  for (const auto& s : streams) s->end->HalfClose();
-  ASSERT_TRUE(RunUntil(p.io, [&] {
-    return std::all_of(streams.begin(), streams.end(), [](const auto& s) { return s->end->over(); });
+  ASSERT_TRUE(RunUntil(fixture.io, [&] { return min_checked_bytes() >= 4 * kPieceBytes; }));
+  const auto new_process = fixture.Start();
+  old_process->Terminate();
+  ASSERT_TRUE(RunUntil(fixture.io, [&] { return old_process->Ended(); }));
+  EXPECT_EQ(old_process->Wait(), 0);
+  const std::size_t checked_at_restart = min_checked_bytes();
+  ASSERT_TRUE(RunUntil(fixture.io, [&] {
+    return min_checked_bytes() >= checked_at_restart + 20 * kPieceBytes;
+  })) << new_process->Errors();
+  sending = false;
+  for (const auto& stream : streams) stream->end->HalfClose();
+  ASSERT_TRUE(RunUntil(fixture.io, [&] {
+    return std::all_of(streams.begin(), streams.end(),
+                       [](const auto& stream) { return stream->end->over(); });
   }));
-  for (const auto& s : streams) {
-    EXPECT_FALSE(s->wrong);
-    EXPECT_TRUE(s->end->ended);
-    EXPECT_EQ(s->checked + SocksCall("x.y").size(), s->end->said);
+  for (const auto& stream : streams) {
+    EXPECT_FALSE(stream->mismatch);
+    EXPECT_TRUE(stream->end->ended);
+    EXPECT_EQ(stream->checked + SocksCall("x.y").size(), stream->end->said);
   }
 }
 
