--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,4 +1,5 @@
-// The gateway over loopback sockets. Each test says what it guards against.
+// Tests of the gateway over loopback sockets with scripted clients, hosts and discovery service. The comment
+// at the head of each test names the failure that it guards against.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,36 +19,37 @@
 namespace {
 
 Endpoint MakeHost(const std::string& id) {
-  Endpoint server;
-  server.id = id;
-  return server;
+  Endpoint host_endpoint;
+  host_endpoint.id = id;
+  return host_endpoint;
 }
 
-// Guards the way through: everything that hosts and clients rely on arrives unchanged.
-TEST(Gateway, PassesARequestOnAndItsAnswerBack) {
+// Guards against a request or an answer being altered while it is forwarded. Only the deadline field changes:
+// the host gets the remaining time.
+TEST(Gateway, ForwardsRequestAndAnswerUnchanged) {
   World world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay", "5000m", "body of r1", "Idempotency-Key: k1\r\nReq-Owner: acme\r\n"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  const HttpRequest& got = world.host().requests[0].http;
-  EXPECT_EQ(got.method(), http::verb::post);
-  EXPECT_EQ(got.target(), "/api");
-  EXPECT_EQ(got["Req-Id"], "r1");
-  EXPECT_EQ(got["Idempotency-Key"], "k1");
-  EXPECT_EQ(got.body(), "body of r1");
-  const std::string left(got["Req-Deadline"]);
-  ASSERT_FALSE(left.empty());
-  EXPECT_EQ(left.back(), 'm');
-  EXPECT_GT(std::stoi(left), 0);
-  EXPECT_LT(std::stoi(left), 5000);  // what is left, not what there was
+  const HttpRequest& forwarded = world.host().requests[0].http;
+  EXPECT_EQ(forwarded.method(), http::verb::post);
+  EXPECT_EQ(forwarded.target(), "/api");
+  EXPECT_EQ(forwarded["Req-Id"], "r1");
+  EXPECT_EQ(forwarded["Idempotency-Key"], "k1");
+  EXPECT_EQ(forwarded.body(), "body of r1");
+  const std::string remaining_time(forwarded["Req-Deadline"]);
+  ASSERT_FALSE(remaining_time.empty());
+  EXPECT_EQ(remaining_time.back(), 'm');
+  EXPECT_GT(std::stoi(remaining_time), 0);
+  EXPECT_LT(std::stoi(remaining_time), 5000);  // the remaining time, not the client's original value
   world.host().requests[0].Answer(200, "answer to r1");
   EXPECT_EQ(client->Await().result(), http::status::ok);
   EXPECT_EQ(client->Await().body(), "answer to r1");
   EXPECT_TRUE(client->Await().keep_alive());
 }
 
-// Guards the 64 KiB that the protocol allows, to the byte.
-TEST(Gateway, TakesABodyOfTheFullSize) {
+// Guards against an off-by-one in the body limit: the protocol allows bodies of exactly 64 KiB.
+TEST(Gateway, ForwardsBodiesOfTheMaximumSize) {
   World world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay", "9000m", std::string(64 * 1024, 'x')));
@@ -58,15 +60,15 @@
 }
 
 struct BadInput {
-  std::string what, text;
-  unsigned status;
+  std::string description, text;
+  unsigned expected_status;
 };
 
-// Guards against input that is no proper request: it must be told so by a 4xx that does not invite a retry,
-// reach no host, and leave the gateway serving.
-TEST(Gateway, AnswersBadInputItself) {
+// Guards against malformed input: the gateway must answer it with a 4xx status that does not invite a retry,
+// must not forward it to a host, and must go on serving other clients.
+TEST(Gateway, RejectsMalformedInputWithoutForwarding) {
   const std::string head = "GET /api HTTP/1.1\r\nHost: b\r\n";
-  const std::string good = "Req-Id: a\r\nReq-Kind: view\r\nReq-Deadline: 900m\r\n";
+  const std::string valid_fields = "Req-Id: a\r\nReq-Kind: view\r\nReq-Deadline: 900m\r\n";
   const std::vector<BadInput> inputs = {
       {"no HTTP", "BOGUS\r\n\r\n", 400},
       {"binary", std::string("\x16\x03\x01\x02\0\x01\r\n\r\n", 10), 400},
@@ -82,22 +84,22 @@
       {"no class", head + "Req-Id: a\r\nReq-Deadline: 900m\r\n\r\n", 400},
       {"no deadline", head + "Req-Id: a\r\nReq-Kind: view\r\n\r\n", 400},
       {"deadline without a unit", ApiCall("a", "view", "900"), 400},
-      {"deadline in words", ApiCall("a", "view", "soonm"), 400},
+      {"deadline without digits", ApiCall("a", "view", "soonm"), 400},
       {"negative deadline", ApiCall("a", "view", "-5m"), 400},
       {"deadline that is no number", ApiCall("a", "view", "nanm"), 400},
       {"endless deadline", ApiCall("a", "view", "infm"), 400},
-      {"wrong path", "GET /apix HTTP/1.1\r\n" + good + "\r\n", 404},
-      {"safe class by POST", "POST /api HTTP/1.1\r\nContent-Length: 0\r\n" + good + "\r\n", 405},
-      {"other method", "DELETE /api HTTP/1.1\r\n" + good + "\r\n", 405},
+      {"wrong path", "GET /apix HTTP/1.1\r\n" + valid_fields + "\r\n", 404},
+      {"safe class by POST", "POST /api HTTP/1.1\r\nContent-Length: 0\r\n" + valid_fields + "\r\n", 405},
+      {"other method", "DELETE /api HTTP/1.1\r\n" + valid_fields + "\r\n", 405},
       {"unsafe class by GET", head + "Req-Id: a\r\nReq-Kind: pay\r\nReq-Deadline: 900m\r\n\r\n", 405},
       {"keyed class without a key", ApiCall("a", "key"), 400},
   };
   World world;
   for (const BadInput& input : inputs) {
-    SCOPED_TRACE(input.what);
+    SCOPED_TRACE(input.description);
     const auto client = world.Connect();
     client->Send(input.text);
-    EXPECT_EQ(client->Await().result_int(), input.status);
+    EXPECT_EQ(client->Await().result_int(), input.expected_status);
   }
   EXPECT_TRUE(world.host().requests.empty());
   const auto client = world.Connect();
@@ -107,8 +109,9 @@
   EXPECT_EQ(client->Await().result(), http::status::ok);
 }
 
-// Guards against two requests of one id: their answers could not be told apart.
-TEST(Gateway, TurnsAwayAnIdThatIsInUse) {
+// Guards against two concurrent requests with the same id, whose answers could not be matched to their
+// requests.
+TEST(Gateway, RejectsAnIdThatIsInUse) {
   World world;
   const auto first = world.Connect(), second = world.Connect();
   first->Send(ApiCall("r1"));
@@ -119,118 +122,133 @@
   EXPECT_EQ(first->Await().result(), http::status::ok);
 }
 
-// Guards against a request that the module gives up on being held back, or told without a time to come back.
-TEST(Gateway, RefusesWithRetryAfter) {
+// Guards against a request that the decision module rejects being left without an answer, or being answered
+// without a Retry-After field.
+TEST(Gateway, RejectsWithRetryAfterWhenTheDeadlineIsTooShort) {
   World world;
   const auto client = world.Connect();
-  client->Send(ApiCall("r1", "pay", "15m"));  // no time to try
+  client->Send(ApiCall("r1", "pay", "15m"));  // too short for an attempt
   EXPECT_EQ(client->Await().result(), http::status::service_unavailable);
   EXPECT_EQ(client->Await().count("Retry-After"), 1u);
   EXPECT_TRUE(world.host().requests.empty());
 }
 
-// How a host may treat a request, and what a gateway may make of it.
-struct Treatment {
-  std::string what;
-  std::function<void(const Peer::Taken&)> treat;
-  bool may_have_run;
+// One way in which a host fails a request, and whether the gateway has to assume that the request was
+// executed.
+struct HostFailure {
+  std::string description;
+  std::function<void(const Peer::Taken&)> apply;
+  bool may_have_been_executed;
 };
 
-const std::vector<Treatment>& Treatments() {
-  static const std::vector<Treatment> all = {
-      {"reset", [](const auto& r) { r.on->Reset(); }, true},
-      {"closed", [](const auto& r) { r.on->Close(); }, true},
-      {"half an answer",
-       [](const auto& r) {
-         r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
-         asio::post(r.on->socket.get_executor(), [on = r.on] { on->Close(); });
+const std::vector<HostFailure>& HostFailures() {
+  static const std::vector<HostFailure> all = {
+      {"reset", [](const auto& received) { received.on->Reset(); }, true},
+      {"closed", [](const auto& received) { received.on->Close(); }, true},
+      {"truncated answer",
+       [](const auto& received) {
+         received.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
+         asio::post(received.on->socket.get_executor(), [on = received.on] { on->Close(); });
        },
        true},
-      {"a body without an end",
-       [](const auto& r) {
-         r.on->Raw("HTTP/1.1 200 OK\r\n\r\nsome");
-         asio::post(r.on->socket.get_executor(), [on = r.on] { on->Close(); });
+      {"body without a length",
+       [](const auto& received) {
+         received.on->Raw("HTTP/1.1 200 OK\r\n\r\nsome");
+         asio::post(received.on->socket.get_executor(), [on = received.on] { on->Close(); });
        },
        true},
-      {"two lengths",
-       [](const auto& r) {
-         r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok");
+      {"two Content-Length fields",
+       [](const auto& received) {
+         received.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok");
        },
        true},
-      {"a length and a coding",
-       [](const auto& r) {
-         r.on->Raw(
+      {"Content-Length and Transfer-Encoding",
+       [](const auto& received) {
+         received.on->Raw(
              "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: "
              "chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n");
        },
        true},
-      {"another coding",
-       [](const auto& r) {
-         r.on->Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n");
+      {"unsupported transfer coding",
+       [](const auto& received) {
+         received.on->Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n");
        },
        true},
-      {"a negative length",
-       [](const auto& r) { r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"); }, true},
-      {"3 GB to come",  // told by the head: no byte of it is waited for
-       [](const auto& r) { r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok"); }, true},
-      {"a head without an end",
-       [](const auto& r) { r.on->Raw("HTTP/1.1 200 OK\r\nX: " + std::string(70000, 'x')); }, true},
-      {"interim answers without an end",
-       [](const auto& r) {
+      {"negative Content-Length",
+       [](const auto& received) { received.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"); },
+       true},
+      {"announced body of 3 GB",  // rejected by the header, without waiting for the body
+       [](const auto& received) {
+         received.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok");
+       },
+       true},
+      {"endless header",
+       [](const auto& received) { received.on->Raw("HTTP/1.1 200 OK\r\nX: " + std::string(70000, 'x')); },
+       true},
+      {"unlimited interim answers",
+       [](const auto& received) {
          std::string text;
          for (int i = 0; i < 50; ++i) text += "HTTP/1.1 102 Processing\r\n\r\n";
-         r.on->Raw(text);
+         received.on->Raw(text);
+       },
+       true},
+      {"truncated header",
+       [](const auto& received) {
+         received.on->Raw("HTTP/1.1 200 OK\r\nContent-");
+         asio::post(received.on->socket.get_executor(), [on = received.on] { on->Close(); });
        },
        true},
-      {"half a header",
-       [](const auto& r) {
-         r.on->Raw("HTTP/1.1 200 OK\r\nContent-");
-         asio::post(r.on->socket.get_executor(), [on = r.on] { on->Close(); });
+      {"no HTTP", [](const auto& received) { received.on->Raw("220 mail ready\r\n\r\n"); }, true},
+      {"body too large",
+       [](const auto& received) {
+         received.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx");
        },
        true},
-      {"no HTTP", [](const auto& r) { r.on->Raw("220 mail ready\r\n\r\n"); }, true},
-      {"too large",
-       [](const auto& r) { r.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"); }, true},
-      {"error", [](const auto& r) { r.Answer(500, "oops"); }, true},
-      {"503 without a word", [](const auto& r) { r.Answer(503, ""); }, true},
-      {"declined otherwise", [](const auto& r) { r.Answer(503, "", "Srv-Declined", "0"); }, true},
-      {"declined by an error", [](const auto& r) { r.Answer(500, "", "Srv-Declined", "1"); }, true},
-      {"declined", [](const auto& r) { r.Answer(503, "", "Srv-Declined", "1"); }, false},
-      {"declined as over", [](const auto& r) { r.Answer(504, "", "Srv-Declined", "1"); }, false},
+      {"error", [](const auto& received) { received.Answer(500, "oops"); }, true},
+      {"503 without Srv-Declined", [](const auto& received) { received.Answer(503, ""); }, true},
+      {"503 with Srv-Declined: 0",
+       [](const auto& received) { received.Answer(503, "", "Srv-Declined", "0"); }, true},
+      {"500 with Srv-Declined: 1",
+       [](const auto& received) { received.Answer(500, "", "Srv-Declined", "1"); }, true},
+      {"503 with Srv-Declined: 1",
+       [](const auto& received) { received.Answer(503, "", "Srv-Declined", "1"); }, false},
+      {"504 with Srv-Declined: 1",
+       [](const auto& received) { received.Answer(504, "", "Srv-Declined", "1"); }, false},
   };
   return all;
 }
 
-// Guards rule 2: an unsafe request goes out again only if it never ran, and any doubt is told as a failure,
-// never as a refusal. One host treats it so, another would serve it.
-TEST(Gateway, SendsUnsafeAgainOnlyIfItNeverRan) {
-  for (const Treatment& treatment : Treatments()) {
-    SCOPED_TRACE(treatment.what);
+// Guards rule 2 against a double execution: an unsafe request may be retried only if it was certainly not
+// executed. In case of doubt the client gets 502, never 503, which would invite a retry. The first host to
+// get the request fails it; the other one would answer it.
+TEST(Gateway, RetriesUnsafeRequestsOnlyIfTheyWereNotExecuted) {
+  for (const HostFailure& host_failure : HostFailures()) {
+    SCOPED_TRACE(host_failure.description);
     World world(2);
-    int tries = 0;
+    int attempts_received = 0;
     for (std::size_t i = 0; i < 2; ++i) {
       world.host(i).serve = [&](const Peer::Taken& taken) {
-        if (tries++ == 0) return treatment.treat(taken);
+        if (attempts_received++ == 0) return host_failure.apply(taken);
         taken.Answer(200, "second");
       };
     }
     const auto client = world.Connect();
     client->Send(ApiCall("r1", "pay"));
-    EXPECT_EQ(client->Await().result_int(), treatment.may_have_run ? 502u : 200u);
-    EXPECT_EQ(tries, treatment.may_have_run ? 1 : 2);
+    EXPECT_EQ(client->Await().result_int(), host_failure.may_have_been_executed ? 502u : 200u);
+    EXPECT_EQ(attempts_received, host_failure.may_have_been_executed ? 1 : 2);
     EXPECT_EQ(client->answers().size(), 1u);
   }
 }
 
-// Guards the other side of it: what is safe to repeat is not failed for one host's sake.
-TEST(Gateway, SendsSafeAgain) {
-  for (const Treatment& treatment : Treatments()) {
-    SCOPED_TRACE(treatment.what);
+// Guards against a safe request failing because of a single host: it must be retried on another host.
+TEST(Gateway, RetriesSafeRequestsOnAnotherHost) {
+  for (const HostFailure& host_failure : HostFailures()) {
+    SCOPED_TRACE(host_failure.description);
     World world(2);
-    int tries = 0;
+    int attempts_received = 0;
     for (std::size_t i = 0; i < 2; ++i) {
       world.host(i).serve = [&](const Peer::Taken& taken) {
-        if (tries++ == 0) return treatment.treat(taken);
+        if (attempts_received++ == 0) return host_failure.apply(taken);
         taken.Answer(200, "second");
       };
     }
@@ -240,76 +258,81 @@
   }
 }
 
-// What the gateway says while requests follow each other over four hosts, each of which does `amiss` with
-// every fourth that it gets. All must be sent.
-std::string WordsWhileEveryFourth(const std::function<void(const Peer::Taken&)>& amiss) {
+// Sends 160 sequential requests through a gateway with four hosts and returns the gateway's log. Each host
+// calls `fail` for every fourth request that it gets and answers the others. Every request must be sent to a
+// host.
+std::string LogWhileEveryFourthRequestFails(const std::function<void(const Peer::Taken&)>& fail) {
   ::testing::internal::CaptureStderr();
   {
     World world(4);
-    std::array<int, 4> taken{};
-    for (std::size_t i = 0; i < taken.size(); ++i) {
+    std::array<int, 4> requests_received{};
+    for (std::size_t i = 0; i < requests_received.size(); ++i) {
       world.host(i).serve = [&, i](const Peer::Taken& request) {
-        ++taken[i] % 4 == 0 ? amiss(request) : request.Answer(200, "");
+        ++requests_received[i] % 4 == 0 ? fail(request) : request.Answer(200, "");
       };
     }
     const auto client = world.Connect();
     for (std::size_t i = 1; i <= 160; ++i) {
       client->Send(ApiCall("r" + std::to_string(i), "pay"));
-      EXPECT_NE(client->Await(i).result_int(), 503u);  // sent, whatever came of it
+      EXPECT_NE(client->Await(i).result_int(), 503u);  // sent, whether or not it succeeded
     }
   }
   return ::testing::internal::GetCapturedStderr();
 }
 
-// Guards against leaving hosts out for resets that all of them see alike: soon there is nowhere to send.
-TEST(Gateway, KeepsHostsInThatResetNoMoreThanTheOthers) {
-  const auto words = WordsWhileEveryFourth([](const Peer::Taken& request) { request.on->Reset(); });
-  EXPECT_EQ(words.find("endpoint_ejected"), std::string::npos) << words;
+// Guards against ejecting hosts for resets that occur equally on all of them: soon no host would be left.
+TEST(Gateway, DoesNotEjectHostsThatAllResetEquallyOften) {
+  const auto log_text =
+      LogWhileEveryFourthRequestFails([](const Peer::Taken& request) { request.on->Reset(); });
+  EXPECT_EQ(log_text.find("endpoint_ejected"), std::string::npos) << log_text;
 }
 
-// Guards against a rate cut for failures that no crowding can have caused: one request at a time is out.
-TEST(Gateway, DoesNotCutTheRateWhileItsHostsStandIdle) {
-  const auto words = WordsWhileEveryFourth([](const Peer::Taken& request) { request.Answer(500, ""); });
-  EXPECT_EQ(words.find("dispatch_rate_reduced"), std::string::npos) << words;
+// Guards against a reduction of the dispatch rate for failures that overload cannot have caused: there is
+// only one request in flight at a time.
+TEST(Gateway, DoesNotReduceTheRateForFailuresOfIdleHosts) {
+  const auto log_text =
+      LogWhileEveryFourthRequestFails([](const Peer::Taken& request) { request.Answer(500, ""); });
+  EXPECT_EQ(log_text.find("dispatch_rate_reduced"), std::string::npos) << log_text;
 }
 
-// Guards against a host that turns requests away drawing ever more of them, as it looks idle: it rests for as
-// long as an answer takes.
-TEST(Gateway, RestsAHostThatTurnsAway) {
+// Guards against a host that declines requests attracting ever more of them because it looks idle. After it
+// has declined a request, it must get none for as long as an answer usually takes.
+TEST(Gateway, PausesAHostThatDeclinesRequests) {
   auto settings = TestSettings();
   settings.erase("report");
   World world(2, settings);
-  constexpr auto kService = std::chrono::seconds(1);  // far longer than the rest of this test
-  asio::steady_timer served(world.io, kService);
+  constexpr auto kServiceTime = std::chrono::seconds(1);  // far longer than the rest of this test
+  asio::steady_timer service_timer(world.io, kServiceTime);
   const auto one = world.Connect(), two = world.Connect();
   one->Send(ApiCall("r1"));
   two->Send(ApiCall("r2"));
   ASSERT_TRUE(
       world.Until([&] { return world.host(0).requests.size() + world.host(1).requests.size() == 2; }));
   ASSERT_EQ(world.host(0).requests.size(), 1u);
-  bool due = false;
-  served.async_wait([&](error_code) { due = true; });
-  ASSERT_TRUE(world.Until([&] { return due; }));
+  bool service_time_over = false;
+  service_timer.async_wait([&](error_code) { service_time_over = true; });
+  ASSERT_TRUE(world.Until([&] { return service_time_over; }));
   for (std::size_t i = 0; i < 2; ++i) world.host(i).requests[0].Answer(200, "");
   one->Await();
   two->Await();
 
-  int turned_away = 0;
+  int declined_requests = 0;
   world.host(0).serve = [&](const Peer::Taken& request) {
-    ++turned_away;
+    ++declined_requests;
     request.Answer(503, "", "Srv-Declined", "1");
   };
   std::vector<std::unique_ptr<Client>> clients;
-  for (std::size_t i = 0; i < 5; ++i) {  // the other host holds them all, and looks the worse for each
+  for (std::size_t i = 0; i < 5; ++i) {  // the other host holds all of them, so its load grows with each
     clients.push_back(world.Connect());
     clients.back()->Send(ApiCall("s" + std::to_string(i)));
     ASSERT_TRUE(world.Until([&] { return world.host(1).requests.size() == i + 2; }));
   }
-  EXPECT_EQ(turned_away, 1);
+  EXPECT_EQ(declined_requests, 1);
 }
 
-// Guards against answers that are lost on the way passing for a slow host: its limit must not shrink by them.
-TEST(Gateway, SendsAsMuchToAHostThoughAnswersAreLost) {
+// Guards against lost answers being taken for high latency: they must not reduce the host's concurrency
+// limit.
+TEST(Gateway, KeepsTheConcurrencyLimitWhenAnswersAreLost) {
   auto settings = TestSettings();
   settings.erase("report");
   World world(1, settings);
@@ -320,29 +343,31 @@
     work->async_wait([work, taken](error_code) { taken.Answer(200, ""); });
   };
   const auto client = world.Connect();
-  std::size_t asked = 0;
-  const auto ask = [&] {
-    client->Send(ApiCall("r" + std::to_string(++asked)));
-    EXPECT_EQ(client->Await(asked).result(), http::status::ok);
+  std::size_t requests_sent = 0;
+  const auto send_and_await = [&] {
+    client->Send(ApiCall("r" + std::to_string(++requests_sent)));
+    EXPECT_EQ(client->Await(requests_sent).result(), http::status::ok);
   };
-  for (int i = 0; i < 10; ++i) ask();
-  std::vector<std::unique_ptr<Client>> others;
+  for (int i = 0; i < 10; ++i) send_and_await();
+  std::vector<std::unique_ptr<Client>> clients_of_lost_requests;
   for (int i = 0; i < 6; ++i) {
-    others.push_back(world.Connect());
-    others.back()->Send(ApiCall("lost" + std::to_string(i), "pay", "900m"));
+    clients_of_lost_requests.push_back(world.Connect());
+    clients_of_lost_requests.back()->Send(ApiCall("lost" + std::to_string(i), "pay", "900m"));
   }
-  while (!std::all_of(others.begin(), others.end(), [](const auto& o) { return o->answers().size() == 1; })) {
-    ask();  // others are answered meanwhile
+  while (!std::all_of(clients_of_lost_requests.begin(), clients_of_lost_requests.end(),
+                      [](const auto& waiting_client) { return waiting_client->answers().size() == 1; })) {
+    send_and_await();  // successful answers continue until all lost requests have failed
   }
-  for (int i = 0; i < 10; ++i) ask();  // the limit follows the latency with each answer
+  for (int i = 0; i < 10; ++i) send_and_await();  // each answer adjusts the limit to the latency
   host.serve = nullptr;
-  const std::size_t before = host.requests.size();
-  for (int i = 0; i < 5; ++i) others[i]->Send(ApiCall("held" + std::to_string(i)));
-  EXPECT_TRUE(RunUntil(world.io, [&] { return host.requests.size() == before + 5; }));
+  const std::size_t requests_before = host.requests.size();
+  for (int i = 0; i < 5; ++i) clients_of_lost_requests[i]->Send(ApiCall("held" + std::to_string(i)));
+  EXPECT_TRUE(RunUntil(world.io, [&] { return host.requests.size() == requests_before + 5; }));
 }
 
-// Guards against a refused dial being taken for a request that may have run: the client may try again.
-TEST(Gateway, TellsARefusedDialAsNeverRun) {
+// Guards against a refused connection being reported as a request that may have been executed. Nothing was
+// sent, so the client gets 503 with Retry-After.
+TEST(Gateway, ReportsARefusedConnectionAsNotExecuted) {
   World world;
   world.host().StopListening();
   const auto client = world.Connect();
@@ -351,25 +376,25 @@
   EXPECT_EQ(client->Await().count("Retry-After"), 1u);
 }
 
-// Guards a stalled host's request: it ends in time, its connection is closed so that the late answer can't
-// reach anyone, and the client gets one answer.
-TEST(Gateway, GivesUpOnAHostThatStalls) {
+// Guards against a host that stalls: the request must end by its deadline with exactly one answer to the
+// client, and the host connection must be closed so that a late answer cannot reach any client.
+TEST(Gateway, EndsTheAttemptOnAStalledHostAtTheDeadline) {
   World world;
   const auto client = world.Connect();
-  const auto begun = std::chrono::steady_clock::now();
+  const auto started_at = std::chrono::steady_clock::now();
   client->Send(ApiCall("r1", "pay", "400m"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   EXPECT_EQ(client->Await().result_int(), 502u);
-  EXPECT_GE(std::chrono::steady_clock::now() - begun, std::chrono::milliseconds(300));
+  EXPECT_GE(std::chrono::steady_clock::now() - started_at, std::chrono::milliseconds(300));
   ASSERT_TRUE(world.Until([&] { return world.host().connections[0]->ended; }));
   world.host().requests[0].Answer(200, "late");
-  client->Send("GET /up HTTP/1.1\r\n\r\n");  // the next answer on the connection is this one's
+  client->Send("GET /up HTTP/1.1\r\n\r\n");  // the next answer on the connection must belong to this request
   EXPECT_EQ(client->Await(2).body(), "");
   EXPECT_EQ(client->answers().size(), 2u);
 }
 
-// Guards against dials that cost hosts work: one connection serves requests that follow each other, and of
-// several the one used last is taken.
+// Guards against needless new connections, which cost the hosts work: successive requests must share a
+// connection, and of several idle connections the most recently used one must be chosen.
 TEST(Gateway, ReusesTheMostRecentConnection) {
   World world;
   Peer& host = world.host();
@@ -390,9 +415,9 @@
   EXPECT_EQ(host.requests[2].on, host.requests[1].on);
 }
 
-// Guards against a write into a connection that the host has closed while it stood idle: an unsafe request
-// would be lost to a reset that need not be.
-TEST(Gateway, NoticesAConnectionClosedWhileIdle) {
+// Guards against a write to a connection that the host closed while it was idle: an unsafe request would fail
+// with an avoidable reset.
+TEST(Gateway, DetectsAConnectionClosedWhileIdle) {
   World world;
   Peer& host = world.host();
   host.serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
@@ -405,8 +430,8 @@
   EXPECT_EQ(host.connections.size(), 6u);
 }
 
-// Guards against an answer that no request asked for being given to the next request.
-TEST(Gateway, DropsAConnectionThatSpeaksUnasked) {
+// Guards against an unsolicited answer from a host being delivered as the answer to the next request.
+TEST(Gateway, DropsAConnectionWithAnUnsolicitedAnswer) {
   World world;
   Peer& host = world.host();
   const auto client = world.Connect();
@@ -422,8 +447,8 @@
   EXPECT_EQ(client->Await(2).body(), "two");
 }
 
-// Guards against an interim answer being taken for the final one.
-TEST(Gateway, ReadsOnBehindInterimAnswers) {
+// Guards against an interim (1xx) answer being taken for the final one.
+TEST(Gateway, SkipsInterimAnswers) {
   World world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay"));
@@ -435,21 +460,22 @@
   EXPECT_EQ(client->Await().body(), "final");
 }
 
-// Guards the next request against noise that came right behind an answer, or a moment after it.
-TEST(Gateway, NeverReusesAConnectionWithMoreThanAnAnswer) {
-  for (const bool at_once : {true, false}) {
-    SCOPED_TRACE(at_once);
+// Guards against surplus bytes that follow an answer, either at once or later, being parsed as part of the
+// answer to the next request.
+TEST(Gateway, NeverReusesAConnectionWithSurplusBytes) {
+  for (const bool in_one_write : {true, false}) {
+    SCOPED_TRACE(in_one_write);
     World world;
     Peer& host = world.host();
     const auto client = world.Connect();
     client->Send(ApiCall("r1"));
     ASSERT_TRUE(world.Until([&] { return host.requests.size() == 1; }));
     const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none",
-                      noise = "HTTP/1.1 200 OK\r\nConte";
-    host.requests[0].on->Raw(at_once ? answer + noise : answer);
+                      surplus_bytes = "HTTP/1.1 200 OK\r\nConte";
+    host.requests[0].on->Raw(in_one_write ? answer + surplus_bytes : answer);
     EXPECT_EQ(client->Await().body(), "one");
-    if (!at_once) {
-      host.requests[0].on->Raw(noise);
+    if (!in_one_write) {
+      host.requests[0].on->Raw(surplus_bytes);
       EXPECT_TRUE(world.Until([&] { return host.connections[0]->ended; }));
     }
     client->Send(ApiCall("r2"));
@@ -460,26 +486,26 @@
   }
 }
 
-// Guards rule 2 against a message with two ends: what one reader takes for its body another takes for a
-// request.
-TEST(Gateway, RefusesWhatCouldHideAnotherRequest) {
+// Guards rule 2 against request smuggling: in a message with ambiguous framing, one parser reads as body what
+// another one reads as a further request.
+TEST(Gateway, RejectsAmbiguousFraming) {
   const std::string head = "POST /api HTTP/1.1\r\nReq-Id: a\r\nReq-Kind: pay\r\nReq-Deadline: 900m\r\n";
-  const std::string hidden = ApiCall("hidden", "pay");
-  const std::vector<std::string> bad = {
-      head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
-      head + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden,
-      head + "Content-Length: 0\r\nContent-Length: 0\r\n\r\n" + hidden,
-      head + "Content-Length: 0\r\nContent-Length: 9\r\n\r\n" + hidden,
-      head + "Content-Length: -1\r\n\r\n" + hidden,
-      head + "Content-Length: 99999999999999999999999\r\n\r\n" + hidden,
-      head + "Transfer-Encoding: gzip\r\n\r\n" + hidden,
-      head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + hidden,
-      head + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden,
-      head + "Req-Id: b\r\nContent-Length: 0\r\n\r\n" + hidden,
-      head + "Req-Deadline: 90m\r\nContent-Length: 0\r\n\r\n" + hidden,
+  const std::string smuggled = ApiCall("hidden", "pay");
+  const std::vector<std::string> ambiguous_requests = {
+      head + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled,
+      head + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + smuggled,
+      head + "Content-Length: 0\r\nContent-Length: 0\r\n\r\n" + smuggled,
+      head + "Content-Length: 0\r\nContent-Length: 9\r\n\r\n" + smuggled,
+      head + "Content-Length: -1\r\n\r\n" + smuggled,
+      head + "Content-Length: 99999999999999999999999\r\n\r\n" + smuggled,
+      head + "Transfer-Encoding: gzip\r\n\r\n" + smuggled,
+      head + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + smuggled,
+      head + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled,
+      head + "Req-Id: b\r\nContent-Length: 0\r\n\r\n" + smuggled,
+      head + "Req-Deadline: 90m\r\nContent-Length: 0\r\n\r\n" + smuggled,
   };
   World world;
-  for (const std::string& text : bad) {
+  for (const std::string& text : ambiguous_requests) {
     SCOPED_TRACE(text);
     const auto client = world.Connect();
     client->Send(text);
@@ -490,8 +516,8 @@
     EXPECT_EQ(client->answers().size(), 1u);
   }
   EXPECT_TRUE(world.host().requests.empty());
-  const auto usual = world.Connect();  // a plain coding is fine
-  usual->Send(head + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n");
+  const auto valid_client = world.Connect();  // chunked coding alone is valid
+  valid_client->Send(head + "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n");
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   EXPECT_EQ(world.host().requests[0].http.body(), "body");
 }
@@ -500,30 +526,34 @@
   return name == "view" ? Policy::Admission::kAccepted : Policy::Admission::kUnknownClass;
 }
 
-// Guards the places of usual clients: those that say nothing, or half a request, are told off or closed in
-// time.
-TEST(ClientServer, EndsSilentAndHalfRequests) {
+// Guards against idle and slow clients occupying connection slots: a connection without any bytes must be
+// closed in time, and an incomplete request must get 408.
+TEST(ClientServer, TimesOutSilentClientsAndIncompleteRequests) {
   asio::io_context io;
   meadowyard::ClientLimits limits;
   limits.first_request = limits.whole_request = limits.body_pause = 1;
-  std::vector<meadowyard::core::ClientRequest> taken;
+  std::vector<meadowyard::core::ClientRequest> accepted_requests;
   meadowyard::ClientServer server(io, {Loopback()}, limits,
                                   {[] { return true; }, [] { return true; }, ViewOnly,
-                                   [&](meadowyard::core::ClientRequest r) { taken.push_back(std::move(r)); },
+                                   [&](meadowyard::core::ClientRequest client_request) {
+                                     accepted_requests.push_back(std::move(client_request));
+                                   },
                                    [](const std::string&) {}, [](const std::string&) {}});
-  Client silent(io, server.address()), half(io, server.address()), body(io, server.address());
-  half.Send("GET /api HTTP/1.1\r\nReq-");
-  body.Send("POST /api HTTP/1.1\r\nContent-Length: 100\r\n\r\nsome");
+  Client silent(io, server.address()), partial_header(io, server.address()),
+      partial_body(io, server.address());
+  partial_header.Send("GET /api HTTP/1.1\r\nReq-");
+  partial_body.Send("POST /api HTTP/1.1\r\nContent-Length: 100\r\n\r\nsome");
   EXPECT_TRUE(silent.AwaitEnd());
   EXPECT_TRUE(silent.answers().empty());
-  EXPECT_EQ(half.Await().result(), http::status::request_timeout);
-  EXPECT_EQ(body.Await().result(), http::status::request_timeout);
-  EXPECT_TRUE(half.AwaitEnd());
-  EXPECT_TRUE(taken.empty());
+  EXPECT_EQ(partial_header.Await().result(), http::status::request_timeout);
+  EXPECT_EQ(partial_body.Await().result(), http::status::request_timeout);
+  EXPECT_TRUE(partial_header.AwaitEnd());
+  EXPECT_TRUE(accepted_requests.empty());
 }
 
-// Guards the memory set by for bodies against clients that go on by a byte at a time.
-TEST(ClientServer, EndsABodyThatTricklesOn) {
+// Guards against clients that send a body one byte at a time and so hold the memory reserved for it: the
+// complete body has a time limit too, not only the pause between two bytes.
+TEST(ClientServer, TimesOutABodySentByteByByte) {
   asio::io_context io;
   meadowyard::ClientLimits limits;
   limits.body_pause = limits.whole_request = 60000;
@@ -534,17 +564,17 @@
        [](const std::string&) {}, [](const std::string&) {}});
   Client slow(io, server.address());
   slow.Send("POST /api HTTP/1.1\r\nContent-Length: 1000000\r\n\r\n");
-  int sent = 0;  // never as much as is held whole
+  int sent_bytes = 0;  // stays below the size up to which bodies are buffered
   EXPECT_TRUE(RunUntil(io, [&] {
-    if (slow.answers().empty() && ++sent < 60000) slow.Send("x");
+    if (slow.answers().empty() && ++sent_bytes < 60000) slow.Send("x");
     return !slow.answers().empty();
   }));
   EXPECT_EQ(slow.Await().result(), http::status::request_timeout);
 }
 
-// Guards against a client that goes on after it was told off in the middle of its request: what is read of it
-// then belongs to nothing any more.
-TEST(ClientServer, BearsAClientThatGoesOnAfterItWasToldOff) {
+// Guards against a client that continues to send after its incomplete request got 408: those bytes belong to
+// no request and must be discarded.
+TEST(ClientServer, DiscardsInputAfterARequestTimeout) {
   asio::io_context io;
   meadowyard::ClientLimits limits;
   limits.first_request = limits.whole_request = limits.body_pause = 1;
@@ -553,21 +583,22 @@
       io, {Loopback()}, limits,
       {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::core::ClientRequest) {},
        [](const std::string&) {}, [](const std::string&) {}});
-  Client half(io, server.address()), body(io, server.address());
-  half.Send("GET /api HTTP/1.1\r\nReq-");
-  body.Send("POST /api HTTP/1.1\r\nContent-Length: 100000\r\n\r\nsome");
-  EXPECT_EQ(half.Await().result(), http::status::request_timeout);
-  EXPECT_EQ(body.Await().result(), http::status::request_timeout);
-  half.Send("Id: r1\r\n\r\n");
-  body.Send(std::string(50000, 'x'));
-  Client other(io, server.address());  // by its answer all that came before it was read
+  Client partial_header(io, server.address()), partial_body(io, server.address());
+  partial_header.Send("GET /api HTTP/1.1\r\nReq-");
+  partial_body.Send("POST /api HTTP/1.1\r\nContent-Length: 100000\r\n\r\nsome");
+  EXPECT_EQ(partial_header.Await().result(), http::status::request_timeout);
+  EXPECT_EQ(partial_body.Await().result(), http::status::request_timeout);
+  partial_header.Send("Id: r1\r\n\r\n");
+  partial_body.Send(std::string(50000, 'x'));
+  Client other(io, server.address());  // when this client has its answer, the earlier bytes have been read
   other.Send("GET /up HTTP/1.1\r\n\r\n");
   EXPECT_EQ(other.Await().result(), http::status::ok);
-  EXPECT_EQ(half.answers().size(), 1u);
+  EXPECT_EQ(partial_header.answers().size(), 1u);
 }
 
-// Guards clients between requests against a crowd that connects and says nothing: the crowd makes room.
-TEST(ClientServer, EvictsTheSilentBeforeUsualClients) {
+// Guards against many connections that send nothing or only part of a request displacing clients that are
+// idle between two requests: at the limit, the former must be closed first.
+TEST(ClientServer, ClosesConnectionsWithoutACompleteRequestBeforeIdleOnes) {
   asio::io_context io;
   meadowyard::ClientLimits limits;
   limits.sessions = 4;
@@ -577,25 +608,27 @@
       io, {Loopback()}, limits,
       {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::core::ClientRequest) {},
        [](const std::string&) {}, [](const std::string&) {}});
-  Client usual(io, server.address());
-  usual.Send("GET /up HTTP/1.1\r\n\r\n");
-  EXPECT_EQ(usual.Await().result(), http::status::ok);
-  std::vector<std::unique_ptr<Client>> crowd;
+  Client idle_client(io, server.address());
+  idle_client.Send("GET /up HTTP/1.1\r\n\r\n");
+  EXPECT_EQ(idle_client.Await().result(), http::status::ok);
+  std::vector<std::unique_ptr<Client>> unfinished_clients;
   for (int i = 0; i < 20; ++i) {
-    crowd.push_back(std::make_unique<Client>(io, server.address()));
-    if (i % 2 == 0) crowd.back()->Send("GET /api HTT");
+    unfinished_clients.push_back(std::make_unique<Client>(io, server.address()));
+    if (i % 2 == 0) unfinished_clients.back()->Send("GET /api HTT");
   }
   EXPECT_TRUE(RunUntil(io, [&] {
-    return std::count_if(crowd.begin(), crowd.end(), [](const auto& c) { return c->ended(); }) >= 17;
+    return std::count_if(unfinished_clients.begin(), unfinished_clients.end(),
+                         [](const auto& connection) { return connection->ended(); }) >= 17;
   }));
-  EXPECT_FALSE(usual.ended());
-  usual.Send("GET /up HTTP/1.1\r\n\r\n");
-  EXPECT_EQ(usual.Await(2).result(), http::status::ok);
+  EXPECT_FALSE(idle_client.ended());
+  idle_client.Send("GET /up HTTP/1.1\r\n\r\n");
+  EXPECT_EQ(idle_client.Await(2).result(), http::status::ok);
 }
 
-// Guards a client whose request is still on its way against being closed for the next one that connects: it
-// would connect again, and so would all. The kept connection of one that asked before goes first.
-TEST(ClientServer, GivesANewClientAMomentForItsRequest) {
+// Guards against a new connection being closed in favour of the next one before its first request has
+// arrived: all such clients would reconnect over and over. An idle kept-alive connection must be closed
+// first.
+TEST(ClientServer, ClosesAnIdleConnectionBeforeANewOne) {
   asio::io_context io;
   meadowyard::ClientLimits limits;
   limits.sessions = 3;
@@ -604,60 +637,63 @@
       io, {Loopback()}, limits,
       {[] { return true; }, [] { return true; }, ViewOnly, [](meadowyard::core::ClientRequest) {},
        [](const std::string&) {}, [](const std::string&) {}});
-  Client stayed(io, server.address());
-  stayed.Send("GET /up HTTP/1.1\r\n\r\n");
-  EXPECT_EQ(stayed.Await().result(), http::status::ok);
+  Client idle_connection(io, server.address());
+  idle_connection.Send("GET /up HTTP/1.1\r\n\r\n");
+  EXPECT_EQ(idle_connection.Await().result(), http::status::ok);
   Client one(io, server.address()), two(io, server.address());
-  EXPECT_TRUE(stayed.AwaitEnd());
+  EXPECT_TRUE(idle_connection.AwaitEnd());
   for (Client* client : {&one, &two}) {
     client->Send("GET /up HTTP/1.1\r\n\r\n");
     EXPECT_EQ(client->Await().result(), http::status::ok);
   }
 }
 
-// Guards a move of discovery: the old call and its answer count for nothing, the whole list is asked for
-// anew, and a second word of the same address changes nothing.
+// Guards against stale data after the discovery address changes: the pending call to the old address and its
+// answer must be dropped and the complete list requested from the new one. A reload with the same address
+// must change nothing.
 TEST(Gateway, FollowsDiscoveryToANewAddress) {
   World world;
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
-  Peer moved(world.io), host(world.io);
+  Peer new_discovery(world.io), host(world.io);
   host.serve = [](const Peer::Taken& taken) { taken.Answer(200, "new"); };
   meadowyard::config::Configuration config = world.config;
-  config.discovery_address = moved.address();
-  // On its way when the address changes: it names a host that must not be believed in.
+  config.discovery_address = new_discovery.address();
+  // Still in flight when the address changes: the host that it lists must not be used.
   world.discovery.requests[0].Answer(200, List(99, true, {Member("h9", world.host().address())}).dump());
   world.gateway->Reload(config);
   world.gateway->Reload(config);
-  ASSERT_TRUE(world.Until([&] { return moved.requests.size() == 1; }));
-  EXPECT_EQ(moved.requests[0].http.target(), "/discovery/hosts");
+  ASSERT_TRUE(world.Until([&] { return new_discovery.requests.size() == 1; }));
+  EXPECT_EQ(new_discovery.requests[0].http.target(), "/discovery/hosts");
   EXPECT_TRUE(world.Until([&] { return world.discovery.connections[0]->ended; }));
-  moved.requests[0].Answer(200, List(3, true, {Member("h1", host.address())}).dump());
-  ASSERT_TRUE(world.Until([&] { return moved.requests.size() == 2; }));
-  EXPECT_EQ(std::string(moved.requests[1].http.target()).find("/discovery/hosts?after=3&"), 0u);
+  new_discovery.requests[0].Answer(200, List(3, true, {Member("h1", host.address())}).dump());
+  ASSERT_TRUE(world.Until([&] { return new_discovery.requests.size() == 2; }));
+  EXPECT_EQ(std::string(new_discovery.requests[1].http.target()).find("/discovery/hosts?after=3&"), 0u);
   const auto client = world.Connect();
   client->Send(ApiCall("r1"));
   EXPECT_EQ(client->Await().body(), "new");
-  EXPECT_EQ(moved.connections.size(), 1u);
+  EXPECT_EQ(new_discovery.connections.size(), 1u);
   EXPECT_EQ(world.discovery.requests.size(), 1u);
 }
 
-// Guards against work for a client that has left: the attempt is given up by closing its connection.
-TEST(Gateway, CancelsForAClientThatLeft) {
+// Guards against hosts working for a client that has disconnected: the attempt must be cancelled by closing
+// its host connection.
+TEST(Gateway, CancelsTheAttemptOfADisconnectedClient) {
   World world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
   client->Leave();
   EXPECT_TRUE(world.Until([&] { return world.host().connections[0]->ended; }));
-  const auto other = world.Connect();  // the id is free again, and the gateway serves
+  const auto other = world.Connect();  // the id can be used again, and the gateway goes on serving
   other->Send(ApiCall("r1"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 2; }));
   world.host().requests[1].Answer(200, "");
   EXPECT_EQ(other->Await().result(), http::status::ok);
 }
 
-// Guards against answers out of order, and against a request lost that came before the last was answered.
-TEST(Gateway, AnswersRequestsThatCameTogetherInOrder) {
+// Guards against pipelined requests being answered out of order, or lost when they arrive before the previous
+// answer.
+TEST(Gateway, AnswersPipelinedRequestsInOrder) {
   World world;
   world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, std::string(taken.http["Req-Id"])); };
   const auto client = world.Connect();
@@ -667,8 +703,9 @@
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client->answers()[i].body(), "r" + std::to_string(i + 1));
 }
 
-// Guards rule 3: news that a host drains takes effect on the next send, and idle connections to it go.
-TEST(Gateway, SendsNothingToAHostThatDrains) {
+// Guards rule 3: once discovery reports that a host drains, it must get no further request, and the idle
+// connections to it must be closed.
+TEST(Gateway, SendsNoRequestToADrainingHost) {
   World world(2);
   for (auto& host : world.hosts) host->serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
   const auto client = world.Connect();
@@ -682,36 +719,37 @@
   world.discovery.requests[0].Answer(
       200, List(42, false, {Member("h0", world.host(0).address(), "draining")}).dump());
   ASSERT_TRUE(world.Until([&] { return world.host(0).connections[0]->ended; }));
-  const std::size_t before = world.host(0).requests.size();
+  const std::size_t requests_before = world.host(0).requests.size();
   for (int i = 0; i < 20; ++i) {
     client->Send(ApiCall("r" + std::to_string(++sent)));
     EXPECT_EQ(client->Await(sent).result(), http::status::ok);
   }
-  EXPECT_EQ(world.host(0).requests.size(), before);
+  EXPECT_EQ(world.host(0).requests.size(), requests_before);
 }
 
-// Guards the gap between a dial and its write: a host that began to drain meanwhile gets no byte. The dial
-// hangs because the listener's queue is full, and comes up when there is room.
-TEST(HostPool, WritesNothingToAHostThatDrainedDuringTheDial) {
+// Guards the interval between a dial and the first write: a host that starts to drain in it must get no byte.
+// The dial stays pending because the listener's queue is full, and completes once the queue has a free entry.
+TEST(HostPool, WritesNothingToAHostThatStartsToDrainDuringTheDial) {
   asio::io_context io;
   tcp::acceptor listener(io, tcp::v4());
   listener.bind(Loopback());
   listener.listen(0);
   listener.non_blocking(true);
-  const auto at = listener.local_endpoint();
-  tcp::socket fill(io);
-  fill.connect(at);  // takes the one place in the queue
+  const auto host_address = listener.local_endpoint();
+  tcp::socket queue_filler(io);
+  queue_filler.connect(host_address);  // takes the only entry of the queue
   meadowyard::HostPool pool(io, {20000, 60000, 10}, {[](const std::string&) { return true; }});
   meadowyard::discovery::EndpointList list;
-  list.endpoints.push_back({MakeHost("h0"), at});
+  list.endpoints.push_back({MakeHost("h0"), host_address});
   pool.Update(list);
   std::optional<AttemptResult> result;
-  const auto call = std::make_shared<const core::RequestMessage>(core::RequestMessage{"GET", "/api", {}, ""});
-  core::AttemptRequest errand;
-  errand.message = call;
-  errand.deadline = meadowyard::core::Now() + 20000;
-  errand.on_finished = [&](AttemptResult r, core::ResponseMessage) { result = r; };
-  pool.Start("h0", std::move(errand));
+  const auto request_message =
+      std::make_shared<const core::RequestMessage>(core::RequestMessage{"GET", "/api", {}, ""});
+  core::AttemptRequest attempt;
+  attempt.message = request_message;
+  attempt.deadline = meadowyard::core::Now() + 20000;
+  attempt.on_finished = [&](AttemptResult reported, core::ResponseMessage) { result = reported; };
+  pool.Start("h0", std::move(attempt));
   list.endpoints[0].endpoint.state = EndpointState::kDraining;
   pool.Update(list);
   std::vector<tcp::socket> accepted;
@@ -729,72 +767,79 @@
   }
 }
 
-// Guards the limit on connections: beyond it an attempt is told as never sent, and one that idles makes room.
-TEST(HostPool, KeepsToItsLimit) {
+// Guards the limit on host connections: at the limit an attempt must end as not sent, unless an idle
+// connection can be closed in favour of a new one.
+TEST(HostPool, EnforcesTheConnectionLimit) {
   asio::io_context io;
   Peer one(io), two(io);
   meadowyard::HostPool pool(io, {5000, 60000, 2}, {[](const std::string&) { return true; }});
   meadowyard::discovery::EndpointList list;
   list.endpoints = {{MakeHost("h1"), one.address()}, {MakeHost("h2"), two.address()}};
   pool.Update(list);
-  std::vector<AttemptResult> results;
-  const auto call = std::make_shared<const core::RequestMessage>(core::RequestMessage{"GET", "/api", {}, ""});
+  std::vector<AttemptResult> attempt_results;
+  const auto request_message =
+      std::make_shared<const core::RequestMessage>(core::RequestMessage{"GET", "/api", {}, ""});
   const auto start = [&](const char* host) {
-    core::AttemptRequest errand;
-    errand.message = call;
-    errand.deadline = meadowyard::core::Now() + 60000;
-    errand.on_finished = [&](AttemptResult r, core::ResponseMessage) { results.push_back(r); };
-    return pool.Start(host, std::move(errand));
+    core::AttemptRequest attempt;
+    attempt.message = request_message;
+    attempt.deadline = meadowyard::core::Now() + 60000;
+    attempt.on_finished = [&](AttemptResult reported, core::ResponseMessage) {
+      attempt_results.push_back(reported);
+    };
+    return pool.Start(host, std::move(attempt));
   };
   start("h1");
   const auto second = start("h1");
   ASSERT_TRUE(RunUntil(io, [&] { return one.requests.size() == 2; }));
   start("h2");
-  EXPECT_EQ(results, std::vector<AttemptResult>{AttemptResult::kNotSent});
+  EXPECT_EQ(attempt_results, std::vector<AttemptResult>{AttemptResult::kNotSent});
   one.requests[0].Answer(200, "");
-  ASSERT_TRUE(RunUntil(io, [&] { return results.size() == 2; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return attempt_results.size() == 2; }));
   start("h2");
   EXPECT_TRUE(RunUntil(io, [&] { return two.requests.size() == 1; }));
   EXPECT_EQ(pool.connections(), 2u);
   pool.Cancel(second);
-  EXPECT_EQ(results.back(), AttemptResult::kCancelled);
+  EXPECT_EQ(attempt_results.back(), AttemptResult::kCancelled);
   EXPECT_EQ(pool.connections(), 1u);
 }
 
-// Guards the watch: it starts from the known list, goes on from each answer, and a call that fails in any way
-// is made again from the last good revision.
-TEST(Gateway, KeepsWatchingThroughFailures) {
+// Guards the discovery watch: it must start from the known list's revision, continue from the revision of
+// each answer, and after a failure of any kind repeat the call from the last valid revision.
+TEST(Gateway, ContinuesTheDiscoveryWatchAfterFailures) {
   World world;
   Peer& discovery = world.discovery;
-  const auto asked = [&](std::size_t n) {
-    EXPECT_TRUE(world.Until([&] { return discovery.requests.size() >= n; })) << "call " << n;
-    return discovery.requests.size() < n ? std::string()
-                                         : std::string(discovery.requests[n - 1].http.target());
+  const auto target_of_call = [&](std::size_t call_number) {
+    EXPECT_TRUE(world.Until([&] { return discovery.requests.size() >= call_number; }))
+        << "call " << call_number;
+    return discovery.requests.size() < call_number
+               ? std::string()
+               : std::string(discovery.requests[call_number - 1].http.target());
   };
-  EXPECT_EQ(asked(1).find("/discovery/hosts?after=41&wait_ms="), 0u);
+  EXPECT_EQ(target_of_call(1).find("/discovery/hosts?after=41&wait_ms="), 0u);
   discovery.requests[0].Answer(200, List(42, false, {}).dump());
-  EXPECT_NE(asked(2).find("after=42&"), std::string::npos);
+  EXPECT_NE(target_of_call(2).find("after=42&"), std::string::npos);
   EXPECT_EQ(discovery.connections.size(), 1u);
   discovery.requests[1].Answer(200, "{\"revision\":43,");
-  EXPECT_NE(asked(3).find("after=42&"), std::string::npos);
-  nlohmann::json wrong = List(43, true, {Member("h9", world.host().address(), "dancing")});
-  discovery.requests[2].Answer(200, wrong.dump());
-  EXPECT_NE(asked(4).find("after=42&"), std::string::npos);
+  EXPECT_NE(target_of_call(3).find("after=42&"), std::string::npos);
+  nlohmann::json invalid_list = List(43, true, {Member("h9", world.host().address(), "dancing")});
+  discovery.requests[2].Answer(200, invalid_list.dump());
+  EXPECT_NE(target_of_call(4).find("after=42&"), std::string::npos);
   discovery.requests[3].Answer(503, "");
-  EXPECT_NE(asked(5).find("after=42&"), std::string::npos);
+  EXPECT_NE(target_of_call(5).find("after=42&"), std::string::npos);
   discovery.requests[4].on->Reset();
-  EXPECT_NE(asked(6).find("after=42&"), std::string::npos);
+  EXPECT_NE(target_of_call(6).find("after=42&"), std::string::npos);
   discovery.requests[5].Answer(200, List(44, true, {Member("h0", world.host().address())}).dump());
-  EXPECT_NE(asked(7).find("after=44&"), std::string::npos);
+  EXPECT_NE(target_of_call(7).find("after=44&"), std::string::npos);
 }
 
-// Guards a flood of clients: those between requests make room, and a new one is served.
-TEST(Gateway, ServesThroughAFloodOfConnections) {
-  World world(1, TestSettings(), 200);  // 90 of them for clients
+// Guards against a flood of client connections blocking new clients: connections without a request must be
+// closed in favour of new ones.
+TEST(Gateway, ServesNewClientsDuringAConnectionFlood) {
+  World world(1, TestSettings(), 200);  // 200 descriptors, of which 90 are for clients
   world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
-  std::vector<std::unique_ptr<Client>> flood;
+  std::vector<std::unique_ptr<Client>> flood_clients;
   for (int i = 0; i < 150; ++i) {
-    flood.push_back(world.Connect());
+    flood_clients.push_back(world.Connect());
     world.io.poll();
   }
   const auto client = world.Connect();
@@ -802,15 +847,17 @@
   EXPECT_EQ(client->Await().result(), http::status::ok);
   std::size_t closed = 0;
   EXPECT_TRUE(world.Until([&] {
-    closed = std::count_if(flood.begin(), flood.end(), [](const auto& c) { return c->ended(); });
+    closed = std::count_if(flood_clients.begin(), flood_clients.end(),
+                           [](const auto& connection) { return connection->ended(); });
     return closed >= 61;
   }));
   EXPECT_LE(closed, 62u);
 }
 
-// Guards the clients that wait for a place while all are taken by requests under way: places come free.
-TEST(Gateway, MakesRoomWhenAllPlacesAreBusy) {
-  World world(1, TestSettings(), 10);  // 3 for clients
+// Guards against clients waiting forever to be accepted while requests in progress occupy all connection
+// slots: slots must become free when those requests are answered.
+TEST(Gateway, AcceptsWaitingClientsWhenSlotsBecomeFree) {
+  World world(1, TestSettings(), 10);  // 10 descriptors, of which 3 are for clients
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 4; ++i) {
     clients.push_back(world.Connect());
@@ -819,10 +866,10 @@
   for (const auto& client : clients) EXPECT_EQ(client->Await().result_int(), 503u);
 }
 
-// Guards against clients that ask once and keep their connection for good shutting others out: past three
-// tenths of the descriptors those that have idled longest are closed. In a stop, kept ones are all that
-// clients have.
-TEST(Gateway, ClosesTheLongestIdleWhereClientsHoldTooMany) {
+// Guards against clients that send one request and keep their connection open excluding other clients: when
+// clients hold more than three tenths of the descriptors, the longest-idle connections must be closed. During
+// a stop they stay open, because clients then have no connections other than the kept ones.
+TEST(Gateway, ClosesTheLongestIdleConnectionsAboveTheClientShare) {
   World world(1, TestSettings(), 100);
   world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
   std::vector<std::unique_ptr<Client>> clients;
@@ -831,23 +878,24 @@
     clients.back()->Send(ApiCall("r" + std::to_string(clients.size())));
     EXPECT_EQ(clients.back()->Await().result(), http::status::ok);
   };
-  const auto open = [&] {
+  const auto open_connections = [&] {
     return std::count_if(clients.begin(), clients.end(), [](const auto& client) { return !client->ended(); });
   };
   for (int i = 0; i < 35; ++i) ask_once();
   for (std::size_t i = 0; i < 5; ++i) EXPECT_TRUE(clients[i]->AwaitEnd());
-  EXPECT_EQ(open(), 30);
+  EXPECT_EQ(open_connections(), 30);
 
   world.gateway->Stop([] {}, {20000, 20000, 20000});
   ask_once();
   clients[5]->Send(ApiCall("again"));
   EXPECT_EQ(clients[5]->Await(2).result(), http::status::ok);
-  EXPECT_EQ(open(), 31);
+  EXPECT_EQ(open_connections(), 31);
 }
 
-// Guards a planned restart: not ready any more but still accepting, all that was taken is answered,
-// keep-alives end with Connection: close, idle ones are closed, and then it is done.
-TEST(Gateway, AnswersAllBeforeItStops) {
+// Guards against failed requests in a planned restart. A stopping gateway reports that it is not ready but
+// still accepts connections, answers every accepted request, ends kept-alive connections with Connection:
+// close, closes idle ones, and then reports completion.
+TEST(Gateway, AnswersAllAcceptedRequestsBeforeItStops) {
   World world;
   const auto idle = world.Connect(), busy = world.Connect();
   idle->Send("GET /up HTTP/1.1\r\n\r\n");
@@ -876,7 +924,8 @@
   EXPECT_TRUE(world.Until([&] { return done; }));
 }
 
-// Guards clients that have nowhere else to go yet: until the drain begins their connections serve as ever.
+// Guards against a stopping gateway closing client connections too early, while clients may not have another
+// gateway yet: until the drain begins, kept-alive connections must stay usable.
 TEST(Gateway, ServesKeptConnectionsUntilItDrains) {
   World world;
   world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
@@ -892,8 +941,9 @@
   EXPECT_TRUE(world.Until([&] { return done; }));
 }
 
-// Guards a stop with a host that never answers: what is left is failed before the process would be killed.
-TEST(Gateway, FailsWhatIsLeftWhenTheStopRunsOut) {
+// Guards against a host that never answers delaying a stop until the process is killed: requests that remain
+// at the end of the stop period must get an error answer before that.
+TEST(Gateway, FailsRemainingRequestsAtTheEndOfTheStopPeriod) {
   World world;
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay", "20000m"));
