--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -1,4 +1,5 @@
-// Long bodies, both ways: passed on in pieces, as fast as the slower side takes them, and never held whole.
+// Tests of long bodies in both directions: the gateway forwards them in parts, at the speed of the slower
+// side, and never buffers a complete body.
 #include <gtest/gtest.h>
 
 #include "peers.hpp"
@@ -7,64 +8,66 @@
 namespace meadowyard::testing {
 namespace {
 
-constexpr std::size_t kLong = 1 << 20;
+constexpr std::size_t kLongBodyBytes = 1 << 20;
 
-std::string Pattern(std::size_t size) {
+// A text whose parts differ, so that missing, repeated or reordered parts are noticed.
+std::string PatternText(std::size_t size) {
   std::string text(size, '\0');
   for (std::size_t i = 0; i < size; ++i) text[i] = static_cast<char>('a' + i * 7919 % 26);
   return text;
 }
 
-// A bare socket on which a test reads and writes what it likes, when it likes.
-struct Raw {
-  Raw(asio::io_context& io, const tcp::endpoint& at) : socket(io) {
-    socket.connect(at);
+// A plain non-blocking socket: the test decides which bytes are read and written, and when.
+struct RawSocket {
+  RawSocket(asio::io_context& io, const tcp::endpoint& peer_address) : socket(io) {
+    socket.connect(peer_address);
     socket.non_blocking(true);
   }
-  explicit Raw(tcp::socket accepted) : socket(std::move(accepted)) { socket.non_blocking(true); }
-  // Reads what is there, up to `most` bytes.
-  std::size_t Read(std::size_t most = 1 << 16) {
-    std::string piece(most, '\0');
+  explicit RawSocket(tcp::socket accepted) : socket(std::move(accepted)) { socket.non_blocking(true); }
+  // Appends the bytes available now, up to `max_bytes`, to `text` and returns their number.
+  std::size_t Read(std::size_t max_bytes = 1 << 16) {
+    std::string piece(max_bytes, '\0');
     error_code ec;
-    const std::size_t got = socket.read_some(asio::buffer(piece), ec);
+    const std::size_t bytes_read = socket.read_some(asio::buffer(piece), ec);
     if (ec && ec != asio::error::would_block) ended = true;
-    text.append(piece, 0, got);
-    return got;
+    text.append(piece, 0, bytes_read);
+    return bytes_read;
   }
+  // Writes what the socket accepts without blocking and returns the number of bytes.
   std::size_t Write(std::string_view part) {
     error_code ec;
     return socket.write_some(asio::buffer(part.data(), part.size()), ec);
   }
   tcp::socket socket;
   std::string text;
-  bool ended = false;
+  bool ended = false;  // the other side closed or reset the connection
 };
 
-// A world whose one host is a bare listener.
-struct RawWorld {
-  RawWorld() : listener(world.io, Loopback()) {
+// A gateway with a single host, which is a plain listening socket.
+struct GatewayWithRawHost {
+  GatewayWithRawHost() : listener(world.io, Loopback()) {
     const auto list = List(42, true, {Member("h0", listener.local_endpoint())});
     world.Until([&] { return !world.discovery.requests.empty(); });
     world.discovery.requests[0].Answer(200, list.dump());
     world.Until([&] { return world.discovery.requests.size() == 2; });
     listener.non_blocking(true);
   }
-  std::unique_ptr<Raw> Accept() {
-    std::unique_ptr<Raw> host;
+  std::unique_ptr<RawSocket> Accept() {
+    std::unique_ptr<RawSocket> host;
     EXPECT_TRUE(world.Until([&] {
       error_code ec;
       tcp::socket socket = listener.accept(ec);
-      if (!ec) host = std::make_unique<Raw>(std::move(socket));
+      if (!ec) host = std::make_unique<RawSocket>(std::move(socket));
       return host != nullptr;
     }));
     return host;
   }
-  // Writes all of `text`, while `other` may do something in between.
-  template <typename Other>
-  void Pump(Raw& to, std::string_view text, Other other) {
+  // Writes all of `text` to `receiver` and calls `after_each_write` after each partial write.
+  template <typename Callback>
+  void WriteAll(RawSocket& receiver, std::string_view text, Callback after_each_write) {
     EXPECT_TRUE(world.Until([&] {
-      text.remove_prefix(to.Write(text));
-      other();
+      text.remove_prefix(receiver.Write(text));
+      after_each_write();
       return text.empty();
     }));
   }
@@ -73,48 +76,52 @@
   tcp::acceptor listener;
 };
 
-std::string Head(const std::string& id, const std::string& framing) {
+// The request line and header fields of an unsafe request; `framing` is the field that gives its body's
+// length.
+std::string RequestHeader(const std::string& id, const std::string& framing) {
   return "POST /api HTTP/1.1\r\nHost: b\r\nReq-Id: " + id + "\r\nReq-Kind: pay\r\nReq-Deadline: 9000m\r\n" +
          framing + "\r\n\r\n";
 }
 
-// Guards long answers: the first bytes reach the client long before the last ones exist, all arrive
-// unchanged, and both connections serve on.
-TEST(Stream, PassesALongAnswerOnAsItComes) {
-  RawWorld raw;
-  const std::string body = Pattern(kLong);
+// Guards against long answers being buffered before they are forwarded: the first bytes must reach the client
+// before the host has sent the last ones. All bytes must arrive unchanged, and both connections must stay
+// usable.
+TEST(Stream, ForwardsALongAnswerWhileItArrives) {
+  GatewayWithRawHost fixture;
+  const std::string body = PatternText(kLongBodyBytes);
   for (const bool chunked : {false, true}) {
-    const auto client = std::make_unique<Raw>(raw.world.io, raw.world.gateway->address());
+    const auto client = std::make_unique<RawSocket>(fixture.world.io, fixture.world.gateway->address());
     client->Write(ApiCall(chunked ? "r1" : "r0"));
-    const auto host = raw.Accept();
-    ASSERT_TRUE(raw.world.Until([&] { return host->Read() > 0; }));
+    const auto host = fixture.Accept();
+    ASSERT_TRUE(fixture.world.Until([&] { return host->Read() > 0; }));
     std::string answer = "HTTP/1.1 200 OK\r\n";
     if (chunked) {
       answer += "Transfer-Encoding: chunked\r\n\r\n";
-      for (std::size_t at = 0; at < body.size(); at += 100000) {
+      for (std::size_t offset = 0; offset < body.size(); offset += 100000) {
         char size[16];
-        std::snprintf(size, sizeof size, "%zx;x=y\r\n", std::min<std::size_t>(100000, body.size() - at));
-        answer += size + body.substr(at, 100000) + "\r\n";
+        std::snprintf(size, sizeof size, "%zx;x=y\r\n", std::min<std::size_t>(100000, body.size() - offset));
+        answer += size + body.substr(offset, 100000) + "\r\n";
       }
       answer += "0\r\nTrailer-Field: t\r\n\r\n";
     } else {
       answer += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
     }
-    raw.Pump(*host, std::string_view(answer).substr(0, 200000), [] {});
-    EXPECT_TRUE(raw.world.Until([&] {
+    fixture.WriteAll(*host, std::string_view(answer).substr(0, 200000), [] {});
+    EXPECT_TRUE(fixture.world.Until([&] {
       client->Read();
       return client->text.size() > 50000;
-    })) << "the rest does not exist yet";
-    raw.Pump(*host, std::string_view(answer).substr(200000), [&] { client->Read(); });
+    })) << "client did not get the first part of the answer before the host sent the rest";
+    fixture.WriteAll(*host, std::string_view(answer).substr(200000), [&] { client->Read(); });
     boost::beast::http::response_parser<http::string_body> parser;
-    parser.body_limit(kLong * 2);
+    parser.body_limit(kLongBodyBytes * 2);
     parser.eager(true);
-    std::size_t used = 0;
-    EXPECT_TRUE(raw.world.Until([&] {
+    std::size_t parsed_bytes = 0;
+    EXPECT_TRUE(fixture.world.Until([&] {
       client->Read();
       error_code ec;
-      if (client->text.size() > used) {
-        used += parser.put(asio::buffer(client->text.data() + used, client->text.size() - used), ec);
+      if (client->text.size() > parsed_bytes) {
+        parsed_bytes += parser.put(
+            asio::buffer(client->text.data() + parsed_bytes, client->text.size() - parsed_bytes), ec);
       }
       return parser.is_done();
     }));
@@ -122,61 +129,63 @@
     EXPECT_TRUE(parser.get().body() == body);
     EXPECT_TRUE(parser.get().keep_alive());
     host->text.clear();
-    raw.world.LetHostsRest();
+    fixture.world.LetHostsRest();
     client->Write(ApiCall(chunked ? "s1" : "s0"));  // on the same two connections
-    ASSERT_TRUE(raw.world.Until([&] { return host->Read() > 0; }));
+    ASSERT_TRUE(fixture.world.Until([&] { return host->Read() > 0; }));
     error_code ignored;
     host->socket.close(ignored);
   }
 }
 
-// Guards memory: from a host that gives much, no more is taken than its client reads.
-TEST(Stream, TakesNoMoreThanTheClientReads) {
-  RawWorld raw;
-  Raw client(raw.world.io, raw.world.gateway->address());
+// Guards against unbounded buffering of a long answer: the gateway must read from the host only as fast as
+// the client reads.
+TEST(Stream, ReadsFromTheHostOnlyAsFastAsTheClientReads) {
+  GatewayWithRawHost fixture;
+  RawSocket client(fixture.world.io, fixture.world.gateway->address());
   client.socket.set_option(asio::socket_base::receive_buffer_size(64 * 1024));
   client.Write(ApiCall("r1"));
-  const auto host = raw.Accept();
-  ASSERT_TRUE(raw.world.Until([&] { return host->Read() > 0; }));
+  const auto host = fixture.Accept();
+  ASSERT_TRUE(fixture.world.Until([&] { return host->Read() > 0; }));
   host->Write("HTTP/1.1 200 OK\r\nContent-Length: 30000000\r\n\r\n");
   const std::string piece(65536, 'x');
-  std::size_t given = 0;
-  int idle = 0;
-  EXPECT_TRUE(raw.world.Until([&] {  // until the host is stopped for good by what is not read
-    const std::size_t wrote = host->Write(piece);
-    given += wrote;
-    idle = wrote == 0 ? idle + 1 : 0;
-    return idle > 5;
+  std::size_t sent_bytes = 0;
+  int writes_blocked_in_a_row = 0;
+  EXPECT_TRUE(fixture.world.Until([&] {  // until the unread bytes block the host's writes for good
+    const std::size_t written = host->Write(piece);
+    sent_bytes += written;
+    writes_blocked_in_a_row = written == 0 ? writes_blocked_in_a_row + 1 : 0;
+    return writes_blocked_in_a_row > 5;
   }));
-  EXPECT_LT(given, 25000000u);
-  const std::size_t before = given;
-  EXPECT_TRUE(raw.world.Until([&] {
+  EXPECT_LT(sent_bytes, 25000000u);
+  const std::size_t sent_before_reading = sent_bytes;
+  EXPECT_TRUE(fixture.world.Until([&] {
     client.Read();
-    given += host->Write(piece);
-    return given > before + 2000000;
-  })) << "it goes on as the client reads";
+    sent_bytes += host->Write(piece);
+    return sent_bytes > sent_before_reading + 2000000;
+  })) << "the gateway did not resume reading from the host when the client read";
 }
 
-// Guards a client against an answer that breaks off: it must not look whole.
-TEST(Stream, CutsTheClientOffWhereTheHostBreaksOff) {
+// Guards against an answer that the host truncates looking complete to the client: the gateway must close the
+// client connection without completing the body.
+TEST(Stream, ClosesTheClientConnectionWhenTheHostTruncatesItsAnswer) {
   for (const std::string framing : {"Content-Length: 200000", "Transfer-Encoding: chunked"}) {
-    RawWorld raw;
-    Raw client(raw.world.io, raw.world.gateway->address());
+    GatewayWithRawHost fixture;
+    RawSocket client(fixture.world.io, fixture.world.gateway->address());
     client.Write(ApiCall("r1"));
-    const auto host = raw.Accept();
-    ASSERT_TRUE(raw.world.Until([&] { return host->Read() > 0; }));
+    const auto host = fixture.Accept();
+    ASSERT_TRUE(fixture.world.Until([&] { return host->Read() > 0; }));
     const std::string body(100000, 'x');
-    raw.Pump(*host,
-             "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" +
-                 (framing[0] == 'T' ? "186a0\r\n" + body + "\r\n" : body),
-             [&] { client.Read(); });
-    EXPECT_TRUE(raw.world.Until([&] {
+    fixture.WriteAll(*host,
+                     "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n" +
+                         (framing[0] == 'T' ? "186a0\r\n" + body + "\r\n" : body),
+                     [&] { client.Read(); });
+    EXPECT_TRUE(fixture.world.Until([&] {
       client.Read();
       return client.text.size() > 90000;
     }));
     error_code ignored;
     host->socket.close(ignored);
-    EXPECT_TRUE(raw.world.Until([&] {
+    EXPECT_TRUE(fixture.world.Until([&] {
       client.Read();
       return client.ended;
     }));
@@ -185,102 +194,114 @@
   }
 }
 
-// Guards long requests: they go to the host as they come, arrive unchanged, and their time counts from the
-// end.
-TEST(Stream, PassesALongRequestOnAsItComes) {
-  RawWorld raw;
-  const std::string body = Pattern(kLong);
-  Raw client(raw.world.io, raw.world.gateway->address());
-  raw.Pump(client, Head("r1", "Content-Length: " + std::to_string(kLong)) + body.substr(0, 100000), [] {});
-  const auto host = raw.Accept();
-  EXPECT_TRUE(raw.world.Until([&] {
+// Guards against long requests being buffered before they are forwarded: the host must get the first bytes
+// before the client has sent the last ones, and all bytes unchanged. The deadline counts from the end of the
+// request.
+TEST(Stream, ForwardsALongRequestWhileItArrives) {
+  GatewayWithRawHost fixture;
+  const std::string body = PatternText(kLongBodyBytes);
+  RawSocket client(fixture.world.io, fixture.world.gateway->address());
+  fixture.WriteAll(
+      client,
+      RequestHeader("r1", "Content-Length: " + std::to_string(kLongBodyBytes)) + body.substr(0, 100000),
+      [] {});
+  const auto host = fixture.Accept();
+  EXPECT_TRUE(fixture.world.Until([&] {
     host->Read();
     return host->text.size() > 80000;
-  })) << "the rest does not exist yet";
-  raw.Pump(client, std::string_view(body).substr(100000), [&] { host->Read(); });
-  EXPECT_TRUE(raw.world.Until([&] {
+  })) << "host did not get the first part of the request before the client sent the rest";
+  fixture.WriteAll(client, std::string_view(body).substr(100000), [&] { host->Read(); });
+  EXPECT_TRUE(fixture.world.Until([&] {
     host->Read();
-    return host->text.ends_with(body.substr(kLong - 50)) && host->text.size() > kLong;
+    return host->text.ends_with(body.substr(kLongBodyBytes - 50)) && host->text.size() > kLongBodyBytes;
   }));
-  const std::size_t at = host->text.find("\r\n\r\n") + 4;
-  EXPECT_TRUE(host->text.substr(at) == body);
+  const std::size_t body_offset = host->text.find("\r\n\r\n") + 4;
+  EXPECT_TRUE(host->text.substr(body_offset) == body);
   EXPECT_NE(host->text.find("Req-Id: r1"), std::string::npos);
   host->Write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-  EXPECT_TRUE(raw.world.Until([&] {
+  EXPECT_TRUE(fixture.world.Until([&] {
     client.Read();
     return client.text.ends_with("ok");
   }));
   EXPECT_TRUE(client.text.starts_with("HTTP/1.1 200"));
-  raw.world.LetHostsRest();
+  fixture.world.LetHostsRest();
   client.Write(ApiCall("r2"));
   host->text.clear();
-  EXPECT_TRUE(raw.world.Until([&] { return host->Read() > 0; })) << "both connections serve on";
+  EXPECT_TRUE(fixture.world.Until([&] { return host->Read() > 0; }))
+      << "the connections were not reused for a second request";
 }
 
-TEST(Stream, PassesALongRequestOfUnknownLengthOnInChunks) {
-  RawWorld raw;
-  Raw client(raw.world.io, raw.world.gateway->address());
-  const std::string piece = Pattern(50000);
-  std::string text = Head("r1", "Transfer-Encoding: chunked");
+// Guards against a long request without a Content-Length being forwarded with wrong chunk framing or altered
+// bytes.
+TEST(Stream, ForwardsALongRequestOfUnknownLengthInChunks) {
+  GatewayWithRawHost fixture;
+  RawSocket client(fixture.world.io, fixture.world.gateway->address());
+  const std::string piece = PatternText(50000);
+  std::string text = RequestHeader("r1", "Transfer-Encoding: chunked");
   for (int i = 0; i < 4; ++i) text += "c350\r\n" + piece + "\r\n";
-  raw.Pump(client, text + "0\r\n\r\n", [] {});
-  const auto host = raw.Accept();
-  EXPECT_TRUE(raw.world.Until([&] {
+  fixture.WriteAll(client, text + "0\r\n\r\n", [] {});
+  const auto host = fixture.Accept();
+  EXPECT_TRUE(fixture.world.Until([&] {
     host->Read();
     return host->text.ends_with("0\r\n\r\n");
   }));
   http::request_parser<http::string_body> parser;
-  parser.body_limit(kLong);
+  parser.body_limit(kLongBodyBytes);
   parser.eager(true);
   error_code ec;
-  for (std::size_t used = 0; !ec && !parser.is_done();) {
-    used += parser.put(asio::buffer(host->text.data() + used, host->text.size() - used), ec);
+  for (std::size_t parsed_bytes = 0; !ec && !parser.is_done();) {
+    parsed_bytes +=
+        parser.put(asio::buffer(host->text.data() + parsed_bytes, host->text.size() - parsed_bytes), ec);
   }
   EXPECT_FALSE(ec) << ec.message();
   EXPECT_TRUE(parser.get().body() == piece + piece + piece + piece);
 }
 
-// Guards what may never run twice: a long request that broke off at its host was never whole there, and the
-// gateway has no more of it, so its client is told to come again; a client that breaks off leaves nothing.
-TEST(Stream, RefusesALongRequestThatItCantSendAgain) {
-  RawWorld raw;
-  Raw client(raw.world.io, raw.world.gateway->address());
-  raw.Pump(client, Head("r1", "Content-Length: 3000000") + std::string(300000, 'x'), [] {});
-  auto host = raw.Accept();
-  EXPECT_TRUE(raw.world.Until([&] {
+// Guards against a wrong outcome when a long unsafe request is interrupted. If the host resets the
+// connection, it has not got the complete request, so the request was not executed; the gateway no longer has
+// the forwarded bytes and cannot retry, so the client must get 503. If the client disconnects, the host
+// connection must be closed.
+TEST(Stream, RejectsAnInterruptedLongRequestThatItCannotRetry) {
+  GatewayWithRawHost fixture;
+  RawSocket client(fixture.world.io, fixture.world.gateway->address());
+  fixture.WriteAll(client, RequestHeader("r1", "Content-Length: 3000000") + std::string(300000, 'x'), [] {});
+  auto host = fixture.Accept();
+  EXPECT_TRUE(fixture.world.Until([&] {
     host->Read();
     return host->text.size() > 300000;
   }));
   error_code ignored;
   host->socket.set_option(asio::socket_base::linger(true, 0), ignored);
   host->socket.close(ignored);
-  EXPECT_TRUE(raw.world.Until([&] {
+  EXPECT_TRUE(fixture.world.Until([&] {
     client.Write(std::string(1000, 'x'));
     client.Read();
     return client.text.find("\r\n\r\n") != std::string::npos;
   }));
   EXPECT_TRUE(client.text.starts_with("HTTP/1.1 503")) << client.text.substr(0, 80);
   {
-    Raw leaver(raw.world.io, raw.world.gateway->address());
-    raw.Pump(leaver, Head("r2", "Content-Length: 3000000") + std::string(300000, 'x'), [] {});
-    host = raw.Accept();
-    EXPECT_TRUE(raw.world.Until([&] { return host->Read() > 0; }));
+    RawSocket disconnecting_client(fixture.world.io, fixture.world.gateway->address());
+    fixture.WriteAll(disconnecting_client,
+                     RequestHeader("r2", "Content-Length: 3000000") + std::string(300000, 'x'), [] {});
+    host = fixture.Accept();
+    EXPECT_TRUE(fixture.world.Until([&] { return host->Read() > 0; }));
   }
-  EXPECT_TRUE(raw.world.Until([&] {
+  EXPECT_TRUE(fixture.world.Until([&] {
     host->Read();
     return host->ended;
   }));
 }
 
-// Guards clients that ask first whether their body is wanted.
-// Guards hosts against clients that break their uploads off: that says nothing of a host.
-TEST(Stream, HoldsABodyThatItsClientBreaksAgainstNoHost) {
+// Guards against uploads that clients abort being counted as failures of the hosts.
+TEST(Stream, DoesNotBlameHostsForUploadsAbortedByClients) {
   World world(2, TestSettings(), 300, true);
-  const auto dialled = [&] { return world.host(0).connections.size() + world.host(1).connections.size(); };
+  const auto connections_to_hosts = [&] {
+    return world.host(0).connections.size() + world.host(1).connections.size();
+  };
   for (std::size_t i = 0; i < 8; ++i) {
     const auto client = world.Connect();
-    client->Send(Head("r" + std::to_string(i), "Content-Length: 1000000") + Pattern(100000));
-    ASSERT_TRUE(world.Until([&] { return dialled() > i; }));
+    client->Send(RequestHeader("r" + std::to_string(i), "Content-Length: 1000000") + PatternText(100000));
+    ASSERT_TRUE(world.Until([&] { return connections_to_hosts() > i; }));
     client->Leave();
     ASSERT_TRUE(world.Until([&] {
       return std::all_of(world.hosts.begin(), world.hosts.end(), [](const auto& host) {
@@ -292,11 +313,12 @@
   EXPECT_EQ(world.Figures()["cluster_unhealthy"], 0);
 }
 
-TEST(Stream, TellsAClientToGoOn) {
+// Guards against clients that send Expect: 100-continue waiting forever for permission to send the body.
+TEST(Stream, AnswersExpectContinueWithAnInterimAnswer) {
   World world;
   world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, taken.http.body()); };
-  Raw client(world.io, world.gateway->address());
-  client.Write(Head("r1", "Content-Length: 4\r\nExpect: 100-continue"));
+  RawSocket client(world.io, world.gateway->address());
+  client.Write(RequestHeader("r1", "Content-Length: 4\r\nExpect: 100-continue"));
   EXPECT_TRUE(world.Until([&] {
     client.Read();
     return client.text == "HTTP/1.1 100 Continue\r\n\r\n";
