--- a/src/app/cluster_service.hpp
+++ b/src/app/cluster_service.hpp
@@ -1,4 +1,6 @@
-// A gateway's side of its peers: the link to them, and its part in the duties that are shared.
+/// @file
+/// Connects a gateway to its peers, the other gateways in front of the same hosts: membership protocol and
+/// lease-held roles.
 #ifndef MEADOWYARD_APP_CLUSTER_SERVICE_HPP_
 #define MEADOWYARD_APP_CLUSTER_SERVICE_HPP_
 
@@ -15,34 +17,47 @@
 
 namespace meadowyard {
 
+/// Runs the membership protocol with the peers and, where the peers file enables them, the two lease-held
+/// roles: the endpoint list leader, which watches discovery for all gateways, and the zone state coordinator.
+/// Does nothing until SetPeers is called. The io_context and the discovery client must outlive it.
 class ClusterService : private membership::MembershipProtocol::Delegate {
  public:
   struct Handlers {
-    std::function<Gossip()> gossip;
-    std::function<void(MembershipUpdate)> news;
-    std::function<discovery::EndpointList()> whole;     // the list of hosts as it stands here
-    std::function<void(discovery::EndpointList)> told;  // of it, by a peer
-    std::function<ZoneLoadReport()> sights;             // of the zones
-    std::function<void(const ZoneAgreement&)> agreed;
+    /// What heartbeats carry to the peers.
+    std::function<Gossip()> collect_gossip;
+    std::function<void(MembershipUpdate)> on_membership_update;
+    /// The complete endpoint list that this gateway uses.
+    std::function<discovery::EndpointList()> endpoint_list;
+    /// A peer has sent an endpoint list or changes to it.
+    std::function<void(discovery::EndpointList)> on_endpoint_list;
+    std::function<ZoneLoadReport()> collect_zone_load;
+    /// The gateways have agreed on the state of the zones.
+    std::function<void(const ZoneAgreement&)> on_zone_agreement;
   };
-  // Without a file there are no peers.
+  /// There are no peers until SetPeers is called.
   ClusterService(boost::asio::io_context& io, discovery::DiscoveryClient& discovery, Handlers handlers);
 
-  // From now on by this file.
-  void Know(membership::PeersConfig peers);
-  // Another process has the link meanwhile; without it each asks discovery for itself.
+  /// Applies a peers file and restarts the protocol with it.
+  void SetPeers(membership::PeersConfig peers);
+  /// Stops the protocol, because the successor of a hot restart uses the peer address now. A gateway without
+  /// the protocol watches discovery itself.
   void Close();
+  /// Starts the protocol, or restarts it. Does nothing without peers.
   void Open();
 
-  // Begins to watch discovery, unless a peer reads it for all.
-  void Watch();
-  // The own discovery has told (what it told was taken in), has failed, is to be another.
-  void Told(const discovery::EndpointList& list);
-  void Failed();
-  void Moving(const boost::asio::ip::tcp::endpoint& address);
-  void Stopping();
-  // For operators: what was heard, and what is made of it. Nothing without peers.
-  std::optional<std::string> Status(const Policy::Stats& census) const;
+  /// Starts to watch discovery, unless a peer holds the endpoint list lease and watches it for all gateways.
+  void WatchDiscovery();
+  /// This gateway's own discovery client has delivered `list`, and the gateway has applied it.
+  void OnOwnDiscoveryUpdate(const discovery::EndpointList& list);
+  /// This gateway's own discovery client has failed.
+  void OnOwnDiscoveryFailure();
+  /// To be called before the discovery client gets this address. An address that differs from the current one
+  /// means another discovery service, whose revisions can't be compared with the earlier ones.
+  void OnDiscoveryAddressChange(const boost::asio::ip::tcp::endpoint& address);
+  /// The process is about to end: gives up the lease-held roles.
+  void PrepareShutdown();
+  /// The state of the peers and of the lease-held roles, as JSON for operators. Nothing without peers.
+  std::optional<std::string> Status(const Policy::Stats& stats) const;
 
  private:
   Gossip CollectGossip() override;
@@ -53,17 +68,17 @@
                              const coordination::CoordinationMessage& message) override;
   void OnHeartbeatSent(double jitter) override;
 
-  void ShareList();
-  void ShareZones();
-  // Sends a message of a lease-held role, if the protocol has begun.
+  void StartEndpointListLeader();
+  void StartZoneStateCoordinator();
+  /// Sends a message of a lease-held role. Does nothing while the protocol is stopped.
   void Send(int member, coordination::LeaseRole role, const coordination::CoordinationMessage& message);
 
   boost::asio::io_context& io_;
   discovery::DiscoveryClient& discovery_;
   const Handlers handlers_;
   std::optional<membership::PeersConfig> peers_;
-  std::optional<coordination::EndpointListLeader> duty_;
-  std::optional<coordination::ZoneStateCoordinator> zones_;
+  std::optional<coordination::EndpointListLeader> endpoint_list_leader_;
+  std::optional<coordination::ZoneStateCoordinator> zone_state_coordinator_;
   std::optional<membership::MembershipProtocol> protocol_;
 };
 
--- a/src/app/decision_log.cpp
+++ b/src/app/decision_log.cpp
@@ -7,7 +7,7 @@
 namespace meadowyard::app {
 namespace {
 
-const char* NameOf(Log::Event event) {
+const char* EventName(Log::Event event) {
   switch (event) {
     case Log::Event::kEndpointEjected: return "endpoint_ejected";
     case Log::Event::kEndpointRestored: return "endpoint_restored";
@@ -26,7 +26,7 @@
   if (entry.event == Log::Event::kDispatchRateReduced) {
     fields.emplace_back("rate_per_s", std::to_string(entry.rate_per_s));
   }
-  log::Write(log::Level::kInfo, NameOf(entry.event), fields);
+  log::Write(log::Level::kInfo, EventName(entry.event), fields);
 }
 
 }  // namespace meadowyard::app
--- a/src/app/decision_log.hpp
+++ b/src/app/decision_log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Log entries of the decision module, as log events.
+/// Writes the log entries of the decision module to the program's log.
 #ifndef MEADOWYARD_APP_DECISION_LOG_HPP_
 #define MEADOWYARD_APP_DECISION_LOG_HPP_
 
@@ -7,7 +7,7 @@
 
 namespace meadowyard::app {
 
-/// Writes an entry to the program's log, at level info.
+/// Writes `entry` as a log event at level info.
 void LogDecision(const Log& entry);
 
 }  // namespace meadowyard::app
--- a/src/app/edge_service.cpp
+++ b/src/app/edge_service.cpp
@@ -9,27 +9,28 @@
 namespace meadowyard::app {
 namespace {
 
-// A pool of the file's own has one class, no tenants and nobody else in front of it that is known of.
+// The settings of a pool whose hosts the operators' file lists. It has one class and no tenants. Nothing is
+// known of other gateways in front of its hosts.
 Settings PoolSettings(const Settings& platform, const EdgeConfig& config) {
-  Settings s = platform;
-  s.classes = {config.tunnel};
-  s.tenants.clear();
-  s.polls_endpoints = false;
-  s.max_attempts_in_flight = 0;
-  s.max_tunnels_per_endpoint = config.limits.most_per_host;
-  s.load_report_fields.clear();
-  s.key_affinity = false;
-  s.can_cancel_attempts = true;
-  return s;
+  Settings tunnel_settings = platform;
+  tunnel_settings.classes = {config.tunnel};
+  tunnel_settings.tenants.clear();
+  tunnel_settings.polls_endpoints = false;
+  tunnel_settings.max_attempts_in_flight = 0;
+  tunnel_settings.max_tunnels_per_endpoint = config.limits.most_per_host;
+  tunnel_settings.load_report_fields.clear();
+  tunnel_settings.key_affinity = false;
+  tunnel_settings.can_cancel_attempts = true;
+  return tunnel_settings;
 }
 
-std::optional<ParentAccess> AccessOf(const std::optional<ParentProxy>& parent) {
+std::optional<ParentAccess> ToParentAccess(const std::optional<ParentProxy>& parent) {
   if (!parent) return std::nullopt;
   return ParentAccess{parent->protocol == TunnelProtocol::kSocks5, parent->address, parent->user,
                       parent->password};
 }
 
-discovery::EndpointList ListOf(const EdgePool& pool) {
+discovery::EndpointList ToEndpointList(const EdgePool& pool) {
   discovery::EndpointList list;
   list.endpoints = pool.hosts;
   return list;
@@ -44,67 +45,70 @@
         core(clock, settings, seed, dialer, {[] {}, [](const Log& entry) { LogDecision(entry); }}) {}
 
   void Update(const EdgePool& spec) {
-    dialer.SetParent(AccessOf(spec.parent));
-    const discovery::EndpointList list = ListOf(spec);
+    dialer.SetParent(ToParentAccess(spec.parent));
+    const discovery::EndpointList list = ToEndpointList(spec);
     dialer.Update(list);
-    EndpointUpdate news;
-    for (const discovery::EndpointRecord& host : list.endpoints) news.endpoints.push_back(host.endpoint);
-    core.Report(std::move(news));
+    EndpointUpdate update;
+    for (const discovery::EndpointRecord& host : list.endpoints) update.endpoints.push_back(host.endpoint);
+    core.Report(std::move(update));
   }
 
-  bool empty() const { return core.empty() && adopted == 0; }
+  bool empty() const { return core.empty() && adopted_tunnels == 0; }
 
   TunnelDialer dialer;
   core::Gateway core;
-  int adopted = 0;  // tunnels that the process before this one opened
+  int adopted_tunnels = 0;  // tunnels that the predecessor process opened
 };
 
 EdgeService::EdgeService(boost::asio::io_context& io, core::Clock& clock,
-                         std::shared_ptr<const EdgeConfig> config, const Settings& settings, Millis dial,
-                         std::uint64_t seed, Fleet fleet, const std::map<std::string, int>& inherited)
+                         std::shared_ptr<const EdgeConfig> config, const Settings& settings,
+                         Millis connect_timeout, std::uint64_t seed, DiscoveredPool discovered_pool,
+                         const std::map<std::string, int>& inherited_listeners)
     : io_(io),
       clock_(clock),
       config_(std::move(config)),
       seed_(seed),
-      dial_(dial),
-      fleet_(std::move(fleet)),
+      connect_timeout_(connect_timeout),
+      discovered_pool_(std::move(discovered_pool)),
       front_(io, config_, Handlers()) {
   Apply(*config_, settings);
-  front_.Listen(config_, inherited);
+  front_.Listen(config_, inherited_listeners);
   for (const std::string& warning : config_->warnings)
     log::Write(log::Level::kWarn, "edge_warning", {{"text", warning}});
 }
 
 EdgeService::~EdgeService() = default;
 
-Settings EdgeService::WithTunnels(Settings settings, const EdgeConfig& config) {
-  const bool used = std::any_of(config.pools.begin(), config.pools.end(),
-                                [](const EdgePool& pool) { return pool.discovered; });
-  const bool taken = std::any_of(settings.classes.begin(), settings.classes.end(),
-                                 [&](const TrafficClassSettings& c) { return c.name == config.tunnel.name; });
-  if (taken) {
+Settings EdgeService::AddTunnelClass(Settings settings, const EdgeConfig& config) {
+  const bool uses_discovered_pool = std::any_of(config.pools.begin(), config.pools.end(),
+                                                [](const EdgePool& pool) { return pool.discovered; });
+  const bool class_name_taken = std::any_of(
+      settings.classes.begin(), settings.classes.end(),
+      [&](const TrafficClassSettings& traffic_class) { return traffic_class.name == config.tunnel.name; });
+  if (class_name_taken) {
     throw EdgeError(config.path + ": tunnels.class: '" + config.tunnel.name +
                     "' is a class of the platform's settings");
   }
-  if (used) settings.classes.push_back(config.tunnel);
-  if (used) settings.max_tunnels_per_endpoint = config.limits.most_per_host;
+  if (uses_discovered_pool) settings.classes.push_back(config.tunnel);
+  if (uses_discovered_pool) settings.max_tunnels_per_endpoint = config.limits.most_per_host;
   return settings;
 }
 
 void EdgeService::Apply(const EdgeConfig& config, const Settings& settings) {
-  const TunnelDialer::Times times{dial_, config.limits.parent};
+  const TunnelDialer::Times times{connect_timeout_, config.limits.parent};
   for (const EdgePool& spec : config.pools) {
     if (spec.discovered) {
-      fleet_.dialer->SetTimes(times);
-      fleet_.dialer->SetParent(AccessOf(spec.parent));
+      discovered_pool_.dialer->SetTimes(times);
+      discovered_pool_.dialer->SetParent(ToParentAccess(spec.parent));
       continue;
     }
     auto& pool = pools_[spec.name];
-    const Settings own = PoolSettings(settings, config);
+    const Settings pool_settings = PoolSettings(settings, config);
     if (!pool) {
-      pool = std::make_unique<Pool>(io_, clock_, own, seed_ ^ std::hash<std::string>()(spec.name), times);
+      pool = std::make_unique<Pool>(io_, clock_, pool_settings, seed_ ^ std::hash<std::string>()(spec.name),
+                                    times);
     } else {
-      pool->core.Configure(own);
+      pool->core.Configure(pool_settings);
       pool->dialer.SetTimes(times);
     }
     pool->Update(spec);
@@ -116,14 +120,15 @@
     } else if (it->second->empty()) {
       it = pools_.erase(it);
     } else {
-      it++->second->Update({});  // nothing new goes there, and its tunnels end
+      it++->second->Update({});  // without hosts it gets no new tunnels, and its open ones are closed
     }
   }
 }
 
-void EdgeService::Reload(std::shared_ptr<const EdgeConfig> config, const Settings& settings, Millis dial) {
-  front_.Listen(config);  // the one step that can fail
-  dial_ = dial;
+void EdgeService::Reload(std::shared_ptr<const EdgeConfig> config, const Settings& settings,
+                         Millis connect_timeout) {
+  front_.Listen(config);  // first, because it is the only step that can fail
+  connect_timeout_ = connect_timeout;
   config_ = std::move(config);
   Apply(*config_, settings);
   front_.Configure(config_);
@@ -131,44 +136,46 @@
     log::Write(log::Level::kWarn, "edge_warning", {{"text", warning}});
 }
 
-core::Gateway* EdgeService::CoreOf(const std::string& pool) {
+core::Gateway* EdgeService::FindCore(const std::string& pool) {
   if (const auto found = pools_.find(pool); found != pools_.end()) return &found->second->core;
   const EdgePool* const spec = config_->FindPool(pool);
-  return spec != nullptr && spec->discovered ? fleet_.core : nullptr;
+  return spec != nullptr && spec->discovered ? discovered_pool_.core : nullptr;
 }
 
 TunnelServer::Handlers EdgeService::Handlers() {
-  return {[this] { return fleet_.ready(); },
+  return {[this] { return discovered_pool_.is_ready(); },
           [this](const Route& route, core::ClientRequest request) {
-            if (core::Gateway* const core = CoreOf(route.pool)) return core->Submit(std::move(request));
-            core::Answer answer;  // the pool went with a reload while the client spoke
+            if (core::Gateway* const core = FindCore(route.pool)) return core->Submit(std::move(request));
+            core::Answer answer;  // a reload removed the pool during the client's handshake
             answer.kind = core::Answer::Kind::kRejected;
             request.on_answer(std::move(answer));
           },
           [this](const std::string& pool, const std::string& id) {
-            if (core::Gateway* const core = CoreOf(pool)) core->OnClientDisconnected(id);
+            if (core::Gateway* const core = FindCore(pool)) core->OnClientDisconnected(id);
           },
           [this](const std::string& pool, const std::string& host) -> std::string {
-            core::Gateway* const core = CoreOf(pool);
+            core::Gateway* const core = FindCore(pool);
             if (core == nullptr) return "gone";
-            if (core == fleet_.core) return fleet_.unusable(host);
+            if (core == discovered_pool_.core) return discovered_pool_.ineligibility_reason(host);
             if (core->policy().IsEligible(host)) return "";
             const EdgePool* const spec = config_->FindPool(pool);
-            const bool listed = spec != nullptr && std::any_of(spec->hosts.begin(), spec->hosts.end(),
-                                                               [&](const discovery::EndpointRecord& h) {
-                                                                 return h.endpoint.id == host;
-                                                               });
-            return listed ? "out by hand" : "gone";
+            const bool is_listed =
+                spec != nullptr && std::any_of(spec->hosts.begin(), spec->hosts.end(),
+                                               [&](const discovery::EndpointRecord& record) {
+                                                 return record.endpoint.id == host;
+                                               });
+            return is_listed ? "out by hand" : "gone";
           },
           [this](const std::string& pool, const std::string& host) -> std::function<void(core::TunnelEnd)> {
-            core::Gateway* const core = CoreOf(pool);
+            core::Gateway* const core = FindCore(pool);
             if (core == nullptr) return [](core::TunnelEnd) {};
             const auto found = pools_.find(pool);
-            int* const adopted = found == pools_.end() ? nullptr : &found->second->adopted;
-            if (adopted != nullptr) ++*adopted;
-            return [adopted, closed = core->AdoptTunnel(config_->tunnel.name, host)](core::TunnelEnd end) {
-              closed(end);
-              if (adopted != nullptr) --*adopted;
+            int* const adopted_tunnels = found == pools_.end() ? nullptr : &found->second->adopted_tunnels;
+            if (adopted_tunnels != nullptr) ++*adopted_tunnels;
+            return [adopted_tunnels,
+                    on_closed = core->AdoptTunnel(config_->tunnel.name, host)](core::TunnelEnd end) {
+              on_closed(end);
+              if (adopted_tunnels != nullptr) --*adopted_tunnels;
             };
           },
           [](const std::string& event, const std::vector<std::pair<std::string, std::string>>& fields) {
@@ -176,15 +183,15 @@
           }};
 }
 
-bool EdgeService::Knows(const std::string& host) const {
+bool EdgeService::HasHost(const std::string& host) const {
   return std::any_of(pools_.begin(), pools_.end(),
                      [&](const auto& entry) { return entry.second->core.policy().IsKnown(host); });
 }
 
-void EdgeService::Maintained(const std::string& host, bool out) {
+void EdgeService::SetMaintenance(const std::string& host, bool in_maintenance) {
   for (auto& [name, pool] : pools_) {
     if (!pool->core.policy().IsKnown(host)) continue;
-    if (out) {
+    if (in_maintenance) {
       pool->core.Report(MaintenanceStarted{host});
     } else {
       pool->core.Report(MaintenanceEnded{host});
--- a/src/app/edge_service.hpp
+++ b/src/app/edge_service.hpp
@@ -1,4 +1,5 @@
-// The tunnels of one gateway: the file in force, a core for each pool of its own, and the front.
+/// @file
+/// The tunnels of one gateway.
 #ifndef MEADOWYARD_APP_EDGE_SERVICE_HPP_
 #define MEADOWYARD_APP_EDGE_SERVICE_HPP_
 
@@ -15,31 +16,43 @@
 
 namespace meadowyard::app {
 
+/// Runs the tunnel server by the operators' file, with a core::Gateway of its own for each pool whose hosts
+/// the file lists. Pools of discovered hosts use the gateway's main core.
 class EdgeService {
  public:
-  struct Fleet {  // what serves the discovered hosts
+  /// The part of the gateway that serves the discovered hosts. `core` and `dialer` must outlive the
+  /// EdgeService.
+  struct DiscoveredPool {
     core::Gateway* core = nullptr;
     TunnelDialer* dialer = nullptr;
-    std::function<bool()> ready;
-    std::function<std::string(const std::string& host)> unusable;
+    /// Whether new tunnels may be opened.
+    std::function<bool()> is_ready;
+    /// Why a host gets no new tunnels; empty if it may get them.
+    std::function<std::string(const std::string& host)> ineligibility_reason;
   };
-  // Listens at once, at `inherited` sockets where the file has them. `settings` are the platform's. Throws
-  // boost::system::system_error if it can't.
+  /// Listens at once. `inherited_listeners` are the predecessor's listening sockets by address: they are used
+  /// for the addresses that the file has. `settings` are the platform's. Throws boost::system::system_error
+  /// if a listener can't be opened.
   EdgeService(boost::asio::io_context& io, core::Clock& clock, std::shared_ptr<const EdgeConfig> config,
-              const Settings& settings, Millis dial, std::uint64_t seed, Fleet fleet,
-              const std::map<std::string, int>& inherited);
+              const Settings& settings, Millis connect_timeout, std::uint64_t seed,
+              DiscoveredPool discovered_pool, const std::map<std::string, int>& inherited_listeners);
 
   ~EdgeService();
 
-  // All of a changed file, or nothing of it: throws if a listener can't be opened.
-  void Reload(std::shared_ptr<const EdgeConfig> config, const Settings& settings, Millis dial);
-  // The platform's settings for the fleet with the tunnels' class, if some route goes there.
-  static Settings WithTunnels(Settings settings, const EdgeConfig& config);
-  // A host is left out or put back in each of the file's own pools that has it.
-  void Maintained(const std::string& host, bool out);
-  bool Knows(const std::string& host) const;
+  /// Applies a changed file. Throws boost::system::system_error if a listener can't be opened; nothing is
+  /// changed then.
+  void Reload(std::shared_ptr<const EdgeConfig> config, const Settings& settings, Millis connect_timeout);
+  /// The platform's settings, with the tunnels' class added if a pool of `config` uses the discovered hosts.
+  /// Throws EdgeError if the platform's settings have a class of that name.
+  static Settings AddTunnelClass(Settings settings, const EdgeConfig& config);
+  /// Starts or ends the maintenance of a host in each pool of the file that lists it.
+  void SetMaintenance(const std::string& host, bool in_maintenance);
+  /// Whether a pool of the file lists this host.
+  bool HasHost(const std::string& host) const;
+  /// Fails all requests for tunnels and closes all open tunnels, before the process ends.
   void FailAll();
 
+  /// The server that the tunnels' clients connect to.
   TunnelServer& front() { return front_; }
   const EdgeConfig& config() const { return *config_; }
 
@@ -47,16 +60,17 @@
   struct Pool;
   void Apply(const EdgeConfig& config, const Settings& settings);
   TunnelServer::Handlers Handlers();
-  core::Gateway* CoreOf(const std::string& pool);
+  /// The core that serves a pool; null if there is no such pool.
+  core::Gateway* FindCore(const std::string& pool);
 
   boost::asio::io_context& io_;
   core::Clock& clock_;
   std::shared_ptr<const EdgeConfig> config_;
   const std::uint64_t seed_;
-  Millis dial_;
-  const Fleet fleet_;
+  Millis connect_timeout_;
+  const DiscoveredPool discovered_pool_;
   std::map<std::string, std::unique_ptr<Pool>>
-      pools_;  // a pool that the file has no more stays until it is empty
+      pools_;  // a pool that a reload removed stays until its last tunnel has ended
   TunnelServer front_;
 };
 
--- a/src/app/emergency_memory_reserve.cpp
+++ b/src/app/emergency_memory_reserve.cpp
@@ -8,22 +8,23 @@
 namespace meadowyard::app {
 namespace {
 
-/// Bytes; far more than one turn of the event loop needs.
-constexpr std::size_t kReserveSize = 8U << 20;
+/// Far more than one iteration of the event loop needs.
+constexpr std::size_t kReserveBytes = 8U << 20;
 
 bool installed = false;
-void* reserve = nullptr;  // pages that were never touched: address space alone
+void* reserve = nullptr;  // never written to, so it takes address space but no physical memory
 
 void MapReserve() {
   void* const pages =
-      ::mmap(nullptr, kReserveSize, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS, -1, 0);
+      ::mmap(nullptr, kReserveBytes, PROT_READ | PROT_WRITE, MAP_PRIVATE | MAP_ANONYMOUS, -1, 0);
   reserve = pages == MAP_FAILED ? nullptr : pages;
 }
 
-/// The new-handler: gives the reserve back to the system, so that the failed allocation can be repeated.
+/// The new-handler: returns the reserve to the system, so that the failed allocation can be retried. Throws
+/// std::bad_alloc if the reserve is already used.
 void ReleaseReserve() {
   if (reserve == nullptr) throw std::bad_alloc();
-  ::munmap(reserve, kReserveSize);
+  ::munmap(reserve, kReserveBytes);
   reserve = nullptr;
 }
 
--- a/src/app/emergency_memory_reserve.hpp
+++ b/src/app/emergency_memory_reserve.hpp
@@ -1,18 +1,17 @@
 /// @file
-/// Memory that is held back for the moment when the process can get no more.
+/// Memory that is kept in reserve for a failed allocation.
 #ifndef MEADOWYARD_APP_EMERGENCY_MEMORY_RESERVE_HPP_
 #define MEADOWYARD_APP_EMERGENCY_MEMORY_RESERVE_HPP_
 
 namespace meadowyard::app {
 
-/// Work in progress goes on with the reserve once an allocation has failed; nothing new is accepted until the
-/// reserve could be mapped again. There is one for the process, as there is one allocator.
+/// After a failed allocation, requests in progress continue with the memory of the reserve. No new requests
+/// are accepted until it is mapped again. There is one reserve per process, because there is one allocator.
 class EmergencyMemoryReserve {
  public:
-  /// Maps the reserve and lets failed allocations use it from now on.
+  /// Maps the reserve and installs the new-handler that releases it when an allocation fails.
   static void Install();
-  /// Whether the reserve is there; maps it again if it was used and there is memory for it. True where none
-  /// was installed.
+  /// Whether the reserve is mapped. Tries to map it again if it was released. True without Install().
   [[nodiscard]] static bool IsAvailable();
 };
 
--- a/src/app/main.cpp
+++ b/src/app/main.cpp
@@ -1,4 +1,5 @@
-// meadowyard: the gateway and its operators' commands.
+/// @file
+/// The command line of meadowyard: runs the gateway or one of the operators' commands.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <exception>
@@ -12,13 +13,13 @@
 
 namespace {
 
-int Explain(const std::string& edge, const std::string& destination) {
-  if (edge.empty()) throw meadowyard::EdgeError("--edge: missing; it names the file with the routes");
-  const meadowyard::EdgeConfig config = meadowyard::LoadEdge(edge);
-  std::string why;
-  const auto to = meadowyard::ParseDestination(destination, why);
-  if (!to) throw meadowyard::EdgeError(destination + ": " + why);
-  std::fputs(config.routes->Explain(*to).c_str(), stdout);
+int Explain(const std::string& edge_path, const std::string& destination) {
+  if (edge_path.empty()) throw meadowyard::EdgeError("--edge: missing; it names the file with the routes");
+  const meadowyard::EdgeConfig config = meadowyard::LoadEdge(edge_path);
+  std::string reason;
+  const auto target = meadowyard::ParseDestination(destination, reason);
+  if (!target) throw meadowyard::EdgeError(destination + ": " + reason);
+  std::fputs(config.routes->Explain(*target).c_str(), stdout);
   return 0;
 }
 
@@ -27,9 +28,10 @@
 int main(int argc, char** argv) {
   CLI::App app{"meadowyard: an HTTP gateway. Without a command it serves.", "meadowyard"};
   app.set_version_flag("--version", "meadowyard " MEADOWYARD_VERSION);
-  std::string form = "text", level = "info", file, edge, peers, destination;
-  app.add_option("--log-format", form, "log lines as text or json")->check(CLI::IsMember({"text", "json"}));
-  app.add_option("--log-level", level, "least level that is logged")
+  std::string log_format = "text", log_level = "info", file, edge_path, peers_path, destination;
+  app.add_option("--log-format", log_format, "log lines as text or json")
+      ->check(CLI::IsMember({"text", "json"}));
+  app.add_option("--log-level", log_level, "least level that is logged")
       ->check(CLI::IsMember({"debug", "info", "warn", "error"}));
   app.require_subcommand(0, 1);
   app.fallthrough();
@@ -37,10 +39,10 @@
       "serve",
       "run one gateway in the foreground: NODE_CONFIG names its file; NODE_LISTEN, NODE_DISCOVERY and "
       "NODE_ADMIN win over it");
-  app.add_option("--edge", edge, "the operators' file for tunnels (deploy/edge.toml is an example)")
+  app.add_option("--edge", edge_path, "the operators' file for tunnels (deploy/edge.toml is an example)")
       ->envname("MEADOWYARD_EDGE");
   app.add_option(
-         "--peers", peers,
+         "--peers", peers_path,
          "the operators' file of the gateways in front of the same hosts (deploy/peers.toml is an example)")
       ->envname("MEADOWYARD_PEERS");
   auto* const check = app.add_subcommand(
@@ -57,8 +59,8 @@
   }
   try {
     meadowyard::log::StartLog(
-        form == "json" ? meadowyard::log::Format::kJson : meadowyard::log::Format::kText, level);
-    if (explain->parsed()) return Explain(edge, destination);
+        log_format == "json" ? meadowyard::log::Format::kJson : meadowyard::log::Format::kText, log_level);
+    if (explain->parsed()) return Explain(edge_path, destination);
     if (check->parsed() && file.ends_with(".toml") && meadowyard::membership::IsPeersFile(file)) {
       meadowyard::membership::LoadPeers(file, std::nullopt);
       std::printf("%s: good\n", file.c_str());
@@ -77,7 +79,7 @@
       return 0;
     }
     (void)serve;
-    meadowyard::app::Serve(edge, peers);
+    meadowyard::app::Serve(edge_path, peers_path);
     return 0;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "meadowyard: %s\n", error.what());
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -22,19 +22,22 @@
 namespace meadowyard::app {
 namespace {
 
-const char* Variable(const char* name) { return std::getenv(name); }
+const char* EnvironmentVariable(const char* name) { return std::getenv(name); }
 
-// The environment still tells where discovery was at the start: a changed file knows better.
-const char* VariableAtReload(const char* name) {
-  return std::strcmp(name, "NODE_DISCOVERY") == 0 ? nullptr : Variable(name);
+// For reloads. NODE_DISCOVERY is hidden, because it still has discovery's address of the process's start, and
+// the changed file has the current one.
+const char* EnvironmentVariableAtReload(const char* name) {
+  return std::strcmp(name, "NODE_DISCOVERY") == 0 ? nullptr : EnvironmentVariable(name);
 }
 
-// A file that was turned down is still there for the next version to find: it goes on with the one in force.
-config::Configuration Configure(const std::optional<operations::HandoverState>& state) {
-  if (!state) return config::LoadConfiguration(Variable);
+// Loads the configuration file. A file that the predecessor rejected at a reload may still be there: a
+// successor then uses the configuration that is in force at the predecessor.
+config::Configuration LoadOrInheritConfiguration(const std::optional<operations::HandoverState>& state) {
+  if (!state) return config::LoadConfiguration(EnvironmentVariable);
   try {
-    config::Configuration config = config::LoadConfiguration(Variable);
-    // The environment is that of the first start; the process before this one has followed the file since.
+    config::Configuration config = config::LoadConfiguration(EnvironmentVariable);
+    // NODE_DISCOVERY may have the address of the first start. If the predecessor has since followed the file
+    // to another address, that address wins.
     if (config.document->value("discovery", "") == state->discovery_address) {
       config.discovery_address =
           discovery::ParseAddress(state->discovery_address).value_or(config.discovery_address);
@@ -43,25 +46,28 @@
   } catch (const ConfigurationError& error) {
     log::Write(log::Level::kWarn, "configuration_kept",
                {{"text", "going on with the configuration in force"}, {"why", error.what()}});
-    return config::ParseConfiguration(nlohmann::json::parse(state->configuration), Variable);
+    return config::ParseConfiguration(nlohmann::json::parse(state->configuration), EnvironmentVariable);
   }
 }
 
-std::string FindPredecessor() {
+// The path of the socket at which a predecessor can be found; empty if there can't be one.
+std::string FindPredecessorSocket() {
   try {
-    return config::LoadConfiguration(Variable).handover_path;
+    return config::LoadConfiguration(EnvironmentVariable).handover_path;
   } catch (const ConfigurationError&) {
-    // Told again below, unless there is a process to follow: the variables may be enough to find it.
+    // Not reported here, because the variables may be enough to find a predecessor. Without a predecessor,
+    // LoadOrInheritConfiguration throws this error again.
   }
-  const char* const folder = Variable("TMPDIR");
-  const char* const listen = Variable("NODE_LISTEN");
-  if (folder == nullptr || listen == nullptr || Variable("NODE_ADMIN") == nullptr) return "";
-  return config::HandoverSocketPath(folder, listen);
+  const char* const directory = EnvironmentVariable("TMPDIR");
+  const char* const listen_address = EnvironmentVariable("NODE_LISTEN");
+  if (directory == nullptr || listen_address == nullptr || EnvironmentVariable("NODE_ADMIN") == nullptr)
+    return "";
+  return config::HandoverSocketPath(directory, listen_address);
 }
 
-// The same for the operators' file.
-std::shared_ptr<const EdgeConfig> ConfigureEdge(const std::string& path,
-                                                const std::optional<operations::HandoverState>& state) {
+// The same as LoadOrInheritConfiguration for the operators' file for tunnels. Null if no file is named.
+std::shared_ptr<const EdgeConfig> LoadOrInheritEdge(const std::string& path,
+                                                    const std::optional<operations::HandoverState>& state) {
   if (path.empty()) return nullptr;
   try {
     return std::make_shared<const EdgeConfig>(LoadEdge(path));
@@ -75,71 +81,73 @@
 
 }  // namespace
 
-void Serve(const std::string& edge, const std::string& peers) {
-  // A log that can't be written to is no reason to end.
+void Serve(const std::string& edge_path, const std::string& peers_path) {
+  // The process must not end because its log's pipe is closed or its log's file has reached the size limit.
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGXFSZ, SIG_IGN);
   EmergencyMemoryReserve::Install();
   boost::asio::io_context io(1);
-  boost::asio::signal_set ends(io, SIGTERM, SIGINT), reloads(io, SIGHUP);
-  auto predecessor = operations::RequestPredecessorState(FindPredecessor());
+  boost::asio::signal_set termination_signals(io, SIGTERM, SIGINT), reload_signals(io, SIGHUP);
+  auto predecessor = operations::RequestPredecessorState(FindPredecessorSocket());
   const auto state = predecessor ? operations::ParseHandoverState(predecessor->state) : std::nullopt;
   if (!state) predecessor.reset();
-  const config::Configuration config = Configure(state);
-  Service service(io, config, std::move(predecessor), state, ConfigureEdge(edge, state));
-  const auto load_peers = [&peers, &config] {
-    const char* const name = Variable("NODE_NAME");
-    return membership::LoadPeers(peers, name != nullptr ? name : config.document->value("name", ""));
+  const config::Configuration config = LoadOrInheritConfiguration(state);
+  Service service(io, config, std::move(predecessor), state, LoadOrInheritEdge(edge_path, state));
+  const auto load_peers = [&peers_path, &config] {
+    const char* const name = EnvironmentVariable("NODE_NAME");
+    return membership::LoadPeers(peers_path, name != nullptr ? name : config.document->value("name", ""));
   };
-  if (!peers.empty()) service.KnowPeers(load_peers());
-  operations::SettingsReloader settings(VariableAtReload, config,
-                                        {[&](const config::Configuration& changed) {
-                                           service.Reload(changed);
-                                           log::Write(log::Level::kDebug, "configuration_loaded");
-                                         },
-                                         [&](const std::string& why) {
-                                           log::Write(log::Level::kWarn, "configuration_kept",
-                                                      {{"text", "configuration not reloaded"}, {"why", why}});
-                                           service.KeptSettings();
-                                         }});
-  ends.async_wait([&](const boost::system::error_code& ec, int) {
+  if (!peers_path.empty()) service.ConfigurePeers(load_peers());
+  operations::SettingsReloader settings_reloader(
+      EnvironmentVariableAtReload, config,
+      {[&](const config::Configuration& changed) {
+         service.Reload(changed);
+         log::Write(log::Level::kDebug, "configuration_loaded");
+       },
+       [&](const std::string& reason) {
+         log::Write(log::Level::kWarn, "configuration_kept",
+                    {{"text", "configuration not reloaded"}, {"why", reason}});
+         service.OnConfigurationRejected();
+       }});
+  termination_signals.async_wait([&](const boost::system::error_code& ec, int) {
     if (!ec) service.Stop([&] { io.stop(); });
   });
   const auto reload_edge = [&] {
-    if (edge.empty()) return;
+    if (edge_path.empty()) return;
     try {
-      service.ReloadEdge(std::make_shared<const EdgeConfig>(LoadEdge(edge)));
-      log::Write(log::Level::kInfo, "edge_loaded", {{"file", edge}});
+      service.ReloadEdge(std::make_shared<const EdgeConfig>(LoadEdge(edge_path)));
+      log::Write(log::Level::kInfo, "edge_loaded", {{"file", edge_path}});
     } catch (const std::exception& error) {
       log::Write(log::Level::kWarn, "edge_kept",
                  {{"text", "the file was not reloaded"}, {"why", error.what()}});
     }
   };
   const auto reload_peers = [&] {
-    if (peers.empty()) return;
+    if (peers_path.empty()) return;
     try {
-      service.KnowPeers(load_peers());
-      log::Write(log::Level::kInfo, "peers_loaded", {{"file", peers}});
+      service.ConfigurePeers(load_peers());
+      log::Write(log::Level::kInfo, "peers_loaded", {{"file", peers_path}});
     } catch (const std::exception& error) {
       log::Write(log::Level::kWarn, "peers_kept",
                  {{"text", "the file was not reloaded"}, {"why", error.what()}});
     }
   };
   std::function<void()> await_reload = [&] {
-    reloads.async_wait([&](const boost::system::error_code& ec, int) {
+    reload_signals.async_wait([&](const boost::system::error_code& ec, int) {
       if (ec) return;
-      settings.Reload();
+      settings_reloader.Reload();
       reload_edge();
       reload_peers();
       await_reload();
     });
   };
   await_reload();
-  // A handler that could not go on, for want of memory perhaps, ends alone: what it held is swept up later.
-  for (bool ended = false; !ended;) {
+  // An exception, for example std::bad_alloc, ends only the handler that threw it. Periodic sweeps release
+  // what the handler held.
+  for (bool finished = false; !finished;) {
     try {
       io.run();
-      ended = true;
+      finished = true;
     } catch (const std::exception& error) {
       log::Write(log::Level::kError, "handler_failed", {{"why", error.what()}});
     }
--- a/src/app/serve.hpp
+++ b/src/app/serve.hpp
@@ -1,4 +1,5 @@
-// `meadowyard serve`: one gateway on real sockets, in the foreground until SIGTERM.
+/// @file
+/// `meadowyard serve`: runs one gateway in the foreground until SIGTERM.
 #ifndef MEADOWYARD_APP_SERVE_HPP_
 #define MEADOWYARD_APP_SERVE_HPP_
 
@@ -6,10 +7,11 @@
 
 namespace meadowyard::app {
 
-// Runs until SIGTERM or SIGINT; SIGHUP has it read its configuration again. Throws std::exception, with a
-// text that names what is wrong, if it can't start.
-// `edge`: the operators' file for tunnels; `peers`: theirs of the other gateways; empty: none.
-void Serve(const std::string& edge = "", const std::string& peers = "");
+/// Returns after SIGTERM or SIGINT, once the open requests are answered. SIGHUP reloads the configuration and
+/// the operators' files. Throws std::exception, with a text that names the error, if the gateway can't start.
+/// `edge_path` is the operators' file for tunnels, `peers_path` their file of the gateways in front of the
+/// same hosts; empty: none.
+void Serve(const std::string& edge_path = "", const std::string& peers_path = "");
 
 }  // namespace meadowyard::app
 
--- a/src/app/service.cpp
+++ b/src/app/service.cpp
@@ -15,24 +15,28 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-constexpr Millis kFlush = 200;     // for the last answers to leave
-constexpr Millis kAskAgain = 200;  // where lists are pushed: from a call that failed to the next
+// From failing the remaining requests to the end of the process, so that their answers can be sent.
+constexpr Millis kFlushTime = 200;
+// From a failed call to discovery to the next one, where discovery pushes lists.
+constexpr Millis kDiscoveryRetryDelay = 200;
 
-constexpr std::size_t kLeastSockets = 128;  // that tunnels have to leave for everything else
+constexpr std::size_t kMinNonTunnelDescriptors =
+    128;  // file descriptors that tunnels must leave for the rest
 
-// Tunnels have descriptors of their own, which nothing else is given.
-Means MeansOf(const config::Configuration& config, const EdgeConfig* edge) {
+// The resources for everything but tunnels, which have a separate descriptor budget. Throws EdgeError if
+// tunnels leave too few descriptors.
+Means ResourcesFor(const config::Configuration& config, const EdgeConfig* edge) {
   const std::size_t tunnels = edge != nullptr ? edge->descriptors() : 0;
-  if (tunnels > 0 && tunnels + kLeastSockets > config.max_descriptors) {
+  if (tunnels > 0 && tunnels + kMinNonTunnelDescriptors > config.max_descriptors) {
     throw EdgeError(edge->path + ": tunnels.most: tunnels and handshakes may hold " +
                     std::to_string(tunnels) + " descriptors, and limits.sockets of the platform's file is " +
-                    std::to_string(config.max_descriptors) + ", of which " + std::to_string(kLeastSockets) +
-                    " have to be left");
+                    std::to_string(config.max_descriptors) + ", of which " +
+                    std::to_string(kMinNonTunnelDescriptors) + " have to be left");
   }
   return {config.max_descriptors - tunnels, config.memory_limit_mb, config.admin_address.has_value()};
 }
 
-ClientLimits LimitsFor(const Budget& budget) {
+ClientLimits ClientLimitsFor(const Budget& budget) {
   ClientLimits limits;
   limits.sessions = budget.client_sessions;
   limits.usual = budget.usual_sessions;
@@ -40,11 +44,11 @@
   return limits;
 }
 
-EndpointUpdate ToNews(const discovery::EndpointList& list) {
-  EndpointUpdate news;
-  news.kind = list.is_snapshot ? EndpointUpdate::Kind::kSnapshot : EndpointUpdate::Kind::kDelta;
-  for (const discovery::EndpointRecord& host : list.endpoints) news.endpoints.push_back(host.endpoint);
-  return news;
+EndpointUpdate ToEndpointUpdate(const discovery::EndpointList& list) {
+  EndpointUpdate update;
+  update.kind = list.is_snapshot ? EndpointUpdate::Kind::kSnapshot : EndpointUpdate::Kind::kDelta;
+  for (const discovery::EndpointRecord& host : list.endpoints) update.endpoints.push_back(host.endpoint);
+  return update;
 }
 
 }  // namespace
@@ -54,11 +58,11 @@
                  std::optional<operations::HandoverState> state, std::shared_ptr<const EdgeConfig> edge)
     : clock_(io),
       config_(config),
-      file_(config.document),
+      configuration_document_(config.document),
       settings_(config.settings),
-      edge_file_(std::move(edge)),
-      others_(state ? state->descriptors : 0),
-      budget_(ShareOut(MeansOf(config, edge_file_.get()), others_)),
+      edge_config_(std::move(edge)),
+      predecessor_descriptors_(state ? state->descriptors : 0),
+      budget_(ShareOut(ResourcesFor(config, edge_config_.get()), predecessor_descriptors_)),
       stall_detector_(io, {[this](Millis since) { return discovery_.PollAgainSince(since); },
                            [this] { hosts_.Resume(); }}),
       hosts_(io, {config.connect_timeout, config.endpoint_idle_timeout, budget_.host_connections},
@@ -67,83 +71,85 @@
       dialer_(io, {config.connect_timeout, 0},
               [this](const std::string& host) { return core_.policy().IsEligible(host); }),
       upstream_(hosts_, dialer_),
-      core_(clock_, Fitted(), config.seed, upstream_,
-            {[this] { peers_.Watch(); }, [](const Log& entry) { LogDecision(entry); }}),
-      discovery_(
-          io, config.discovery_address,
-          !state                  ? std::optional(config.known_endpoints.revision)
-          : state->revision_known ? std::optional(state->hosts.revision)
-                                  : std::nullopt,
-          {[this](const discovery::EndpointList& list) { ToldByDiscovery(list); }, [this] { ListFailed(); }}),
+      core_(clock_, EffectiveSettings(), config.seed, upstream_,
+            {[this] { peers_.WatchDiscovery(); }, [](const Log& entry) { LogDecision(entry); }}),
+      discovery_(io, config.discovery_address,
+                 !state                  ? std::optional(config.known_endpoints.revision)
+                 : state->revision_known ? std::optional(state->hosts.revision)
+                                         : std::nullopt,
+                 {[this](const discovery::EndpointList& list) { OnDiscoveryUpdate(list); },
+                  [this] { OnDiscoveryFailed(); }}),
       peers_(io, discovery_,
              {[this] { return core_.policy().CollectGossip(); },
-              [this](MembershipUpdate news) { core_.Report(std::move(news)); },
-              [this] { return WholeList(); }, [this](const discovery::EndpointList& list) { Told(list); },
+              [this](MembershipUpdate update) { core_.Report(std::move(update)); },
+              [this] { return CurrentEndpointList(); },
+              [this](const discovery::EndpointList& list) { ApplyEndpointList(list); },
               [this] { return core_.policy().CollectZoneLoad(); },
-              [this](const ZoneAgreement& zones) { core_.Report(zones); }}),
-      stop_(io),
-      ask_again_(io),
+              [this](const ZoneAgreement& agreement) { core_.Report(agreement); }}),
+      stop_timer_(io),
+      discovery_retry_timer_(io),
       clients_(io,
                {config.listen_address, config.admin_address.has_value(),
                 predecessor ? predecessor->client_listener.release() : -1},
-               LimitsFor(budget_),
-               {[this] { return listed_ && !stopping_; }, &EmergencyMemoryReserve::IsAvailable,
-                [this](const std::string& name, Idempotency effect) {
-                  // Requests are never of the tunnels' class.
-                  if (edge_file_ && name == edge_file_->tunnel.name) return Policy::Admission::kUnknownClass;
-                  return core_.CheckAdmission(name, effect);
+               ClientLimitsFor(budget_),
+               {[this] { return has_endpoints_ && !stopping_; }, &EmergencyMemoryReserve::IsAvailable,
+                [this](const std::string& name, Idempotency idempotency) {
+                  // HTTP requests can't use the tunnels' class.
+                  if (edge_config_ && name == edge_config_->tunnel.name)
+                    return Policy::Admission::kUnknownClass;
+                  return core_.CheckAdmission(name, idempotency);
                 },
                 [this](core::ClientRequest request) { core_.Submit(std::move(request)); },
                 [this](const std::string& id) { core_.OnBodyComplete(id); },
                 [this](const std::string& id) { core_.OnClientDisconnected(id); }}) {
-  if (edge_file_) {
-    std::map<std::string, int> doors;
+  if (edge_config_) {
+    std::map<std::string, int> inherited_listeners;
     if (predecessor) {
-      for (auto& [key, socket] : predecessor->tunnel_listeners) doors[key] = socket.release();
+      for (auto& [key, socket] : predecessor->tunnel_listeners) inherited_listeners[key] = socket.release();
     }
-    edge_.emplace(io, clock_, edge_file_, settings_, config.connect_timeout, config.seed, FleetForTunnels(),
-                  doors);
+    edge_.emplace(io, clock_, edge_config_, settings_, config.connect_timeout, config.seed,
+                  DiscoveredPoolForTunnels(), inherited_listeners);
   }
   if (config.admin_address) {
     admin_.emplace(io, *config.admin_address, operations::AdminServer::Limits(), *this);
     hot_restart_.emplace(io, config.handover_path,
                          predecessor ? std::move(predecessor->channel) : operations::Descriptor(), *this);
   }
-  Told(state ? state->hosts : config.known_endpoints);
+  ApplyEndpointList(state ? state->hosts : config.known_endpoints);
   if (state) core_.Report(std::move(state->learned));
-  if (!settings_.polls_endpoints) peers_.Watch();
+  if (!settings_.polls_endpoints) peers_.WatchDiscovery();
 }
 
 std::string Service::SerializeState() {
   operations::HandoverState state;
-  state.configuration = file_->dump();
+  state.configuration = configuration_document_->dump();
   state.discovery_address = discovery::FormatAddress(discovery_.address());
   state.revision_known = discovery_.revision().has_value();
   state.hosts.revision = discovery_.revision().value_or(0);
-  for (const auto& [id, host] : list_) state.hosts.endpoints.push_back(host);
+  for (const auto& [id, host] : endpoints_) state.hosts.endpoints.push_back(host);
   state.learned = core_.policy().Snapshot();
   if (edge_) state.edge_configuration = edge_->config().text;
   state.descriptors = CountDescriptors();
   return operations::SerializeHandoverState(state);
 }
 
-void Service::KnowPeers(membership::PeersConfig peers) {
-  subset_ = peers.subset_size;
-  locality_ = peers.zone_routing;
-  peers_.Know(std::move(peers));
-  core_.Configure(Fitted());
+void Service::ConfigurePeers(membership::PeersConfig peers) {
+  subset_size_ = peers.subset_size;
+  zone_routing_ = peers.zone_routing;
+  peers_.SetPeers(std::move(peers));
+  core_.Configure(EffectiveSettings());
 }
 
-void Service::ToldByDiscovery(const discovery::EndpointList& list) {
-  Told(list);
-  peers_.Told(list);
+void Service::OnDiscoveryUpdate(const discovery::EndpointList& list) {
+  ApplyEndpointList(list);
+  peers_.OnOwnDiscoveryUpdate(list);
   stall_detector_.OnDiscoveryAnswered();
 }
 
-discovery::EndpointList Service::WholeList() const {
-  discovery::EndpointList whole;
-  for (const auto& [id, host] : list_) whole.endpoints.push_back(host);
-  return whole;
+discovery::EndpointList Service::CurrentEndpointList() const {
+  discovery::EndpointList snapshot;
+  for (const auto& [id, host] : endpoints_) snapshot.endpoints.push_back(host);
+  return snapshot;
 }
 
 int Service::ClientListener() { return clients_.listener(); }
@@ -195,53 +201,54 @@
 }
 
 void Service::OnPredecessorDescriptors(std::size_t count) {
-  if (count == std::exchange(others_, count)) return;
-  budget_ = ShareOut(MeansOf(config_, edge_file_.get()), others_);
+  if (count == std::exchange(predecessor_descriptors_, count)) return;
+  budget_ = ShareOut(ResourcesFor(config_, edge_config_.get()), predecessor_descriptors_);
   clients_.SetPlaces(budget_.client_sessions, budget_.usual_sessions);
   hosts_.SetMost(budget_.host_connections);
-  core_.Configure(Fitted());
+  core_.Configure(EffectiveSettings());
 }
 
 void Service::Reload(const config::Configuration& config) {
-  if (edge_file_)
-    EdgeService::WithTunnels(config.settings, *edge_file_);  // throws before anything is changed
-  file_ = config.document;
+  if (edge_config_)
+    EdgeService::AddTunnelClass(config.settings, *edge_config_);  // throws before anything is changed
+  configuration_document_ = config.document;
   settings_ = config.settings;
   hosts_.SetTimes(config.connect_timeout, config.endpoint_idle_timeout);
   core_.metrics().Configured(true);
-  core_.Configure(Fitted());
-  peers_.Moving(config.discovery_address);
+  core_.Configure(EffectiveSettings());
+  peers_.OnDiscoveryAddressChange(config.discovery_address);
   discovery_.SetAddress(config.discovery_address);
 }
 
-Settings Service::Fitted() const {
-  // The module is told how many attempts there are descriptors for.
-  Settings settings = edge_file_ ? EdgeService::WithTunnels(settings_, *edge_file_) : settings_;
+Settings Service::EffectiveSettings() const {
+  // Limits the attempts in flight to the connections that the descriptor budget allows.
+  Settings settings = edge_config_ ? EdgeService::AddTunnelClass(settings_, *edge_config_) : settings_;
   settings.max_attempts_in_flight = static_cast<int>(budget_.host_connections);
-  settings.subset_size = subset_;
-  settings.zone_routing = locality_;
+  settings.subset_size = subset_size_;
+  settings.zone_routing = zone_routing_;
   return settings;
 }
 
-EdgeService::Fleet Service::FleetForTunnels() {
-  return {&core_, &dialer_, [this] { return listed_ && !stopping_ && EmergencyMemoryReserve::IsAvailable(); },
-          [this](const std::string& host) { return Unusable(host); }};
+EdgeService::DiscoveredPool Service::DiscoveredPoolForTunnels() {
+  return {&core_, &dialer_,
+          [this] { return has_endpoints_ && !stopping_ && EmergencyMemoryReserve::IsAvailable(); },
+          [this](const std::string& host) { return IneligibilityReason(host); }};
 }
 
-std::string Service::Unusable(const std::string& host) const {
+std::string Service::IneligibilityReason(const std::string& host) const {
   if (core_.policy().IsEligible(host)) return "";
-  const auto listed = list_.find(host);
-  if (listed == list_.end()) return "gone";
-  return listed->second.endpoint.state == EndpointState::kDraining ? "draining" : "out by hand";
+  const auto record = endpoints_.find(host);
+  if (record == endpoints_.end()) return "gone";
+  return record->second.endpoint.state == EndpointState::kDraining ? "draining" : "out by hand";
 }
 
 void Service::ReloadEdge(std::shared_ptr<const EdgeConfig> edge) {
-  MeansOf(config_, edge.get());
-  EdgeService::WithTunnels(settings_, *edge);
+  ResourcesFor(config_, edge.get());
+  EdgeService::AddTunnelClass(settings_, *edge);
   edge_->Reload(edge, settings_, config_.connect_timeout);
-  edge_file_ = std::move(edge);
-  budget_ = ShareOut(MeansOf(config_, edge_file_.get()), others_);
-  core_.Configure(Fitted());
+  edge_config_ = std::move(edge);
+  budget_ = ShareOut(ResourcesFor(config_, edge_config_.get()), predecessor_descriptors_);
+  core_.Configure(EffectiveSettings());
 }
 
 std::string Service::MetricsJson() { return core_.metrics().ToJson(core_.policy().CollectStats()); }
@@ -255,7 +262,7 @@
 std::optional<std::string> Service::PeersJson() { return peers_.Status(core_.policy().CollectStats()); }
 
 bool Service::ChangeMaintenance(const operations::MaintenanceChange& change) {
-  const bool known = core_.policy().IsKnown(change.host_id) || (edge_ && edge_->Knows(change.host_id));
+  const bool known = core_.policy().IsKnown(change.host_id) || (edge_ && edge_->HasHost(change.host_id));
   if (!known) return false;
   OnMaintenanceChanged(change);
   hot_restart_->ReplicateMaintenance(change);
@@ -269,81 +276,84 @@
   } else {
     core_.Report(MaintenanceEnded{change.host_id});
   }
-  if (edge_) edge_->Maintained(change.host_id, change.in_maintenance);
+  if (edge_) edge_->SetMaintenance(change.host_id, change.in_maintenance);
 }
 
-void Service::Told(const discovery::EndpointList& list) {
-  hosts_.Update(list);  // first: nothing may be sent by the old list any more
+void Service::ApplyEndpointList(const discovery::EndpointList& list) {
+  hosts_.Update(list);  // first, so that nothing more is sent by the old list
   dialer_.Update(list);
-  if (list.is_snapshot) list_.clear();
+  if (list.is_snapshot) endpoints_.clear();
   for (const discovery::EndpointRecord& host : list.endpoints) {
     if (host.endpoint.state == EndpointState::kRemoved) {
-      list_.erase(host.endpoint.id);
+      endpoints_.erase(host.endpoint.id);
     } else {
-      list_[host.endpoint.id] = host;
+      endpoints_[host.endpoint.id] = host;
     }
   }
-  listed_ = listed_ || !list.endpoints.empty();
-  core_.Report(ToNews(list));
+  has_endpoints_ = has_endpoints_ || !list.endpoints.empty();
+  core_.Report(ToEndpointUpdate(list));
   if (edge_) edge_->front().HostsChanged();
-  if (listed_ && hot_restart_) hot_restart_->StartServing();
+  if (has_endpoints_ && hot_restart_) hot_restart_->StartServing();
 }
 
-void Service::ListFailed() {
-  peers_.Failed();
+void Service::OnDiscoveryFailed() {
+  peers_.OnOwnDiscoveryFailure();
   core_.Report(EndpointUpdate{EndpointUpdate::Kind::kFailed, {}});
-  if (settings_.polls_endpoints) return;  // the policy says when to ask again
-  ask_again_.expires_after(core::ToDuration(kAskAgain));
-  ask_again_.async_wait([this](error_code ec) {
-    if (!ec) peers_.Watch();
+  if (settings_.polls_endpoints) return;  // the decision module schedules the next poll
+  discovery_retry_timer_.expires_after(core::ToDuration(kDiscoveryRetryDelay));
+  discovery_retry_timer_.async_wait([this](error_code ec) {
+    if (!ec) peers_.WatchDiscovery();
   });
 }
 
-// SIGKILL comes 700 ms after the longest deadline, which counts as 3 s where it is longer.
+// The platform sends SIGKILL 700 ms after the longest deadline of the classes, counted from SIGTERM. A
+// deadline above 3 s counts as 3 s.
 void Service::Stop(std::function<void()> done) {
-  Millis longest = 0;
-  for (const TrafficClassSettings& c : settings_.classes) longest = std::max(longest, c.deadline);
-  const Millis sooner = 3000 - std::min(3000.0, longest);
+  Millis longest_deadline = 0;
+  for (const TrafficClassSettings& traffic_class : settings_.classes)
+    longest_deadline = std::max(longest_deadline, traffic_class.deadline);
+  const Millis shortened_by = 3000 - std::min(3000.0, longest_deadline);
   StopTimes times;
-  times.answer = std::max(times.accept, times.answer - sooner);
-  times.serve = std::max(times.accept, times.serve - sooner);
+  times.answer_until = std::max(times.accept_until, times.answer_until - shortened_by);
+  times.serve_until = std::max(times.accept_until, times.serve_until - shortened_by);
   Stop(std::move(done), times);
 }
 
-void Service::Stop(std::function<void()> finished, StopTimes times) {
+void Service::Stop(std::function<void()> on_stopped, StopTimes times) {
   if (std::exchange(stopping_, true)) return;
-  peers_.Stopping();
-  // Clients and tunnels, whichever are last; tunnels are not waited for beyond the time of the answers.
-  const auto left = std::make_shared<int>(edge_ ? 2 : 1);
-  const std::function<void()> done = [left, finished = std::move(finished)] {
-    if (--*left == 0) finished();
+  peers_.PrepareShutdown();
+  // The servers of clients and of tunnels each call `done` once they are drained; the last call ends the
+  // stop. Tunnels that are open after `answer_until` are closed and not waited for.
+  const auto draining_servers = std::make_shared<int>(edge_ ? 2 : 1);
+  const std::function<void()> done = [draining_servers, on_stopped = std::move(on_stopped)] {
+    if (--*draining_servers == 0) on_stopped();
   };
-  const auto after = [this](Millis wait, auto next) {
-    stop_.expires_after(core::ToDuration(wait));
-    stop_.async_wait([next = std::move(next)](error_code) { next(); });
+  const auto run_after = [this](Millis delay, auto action) {
+    stop_timer_.expires_after(core::ToDuration(delay));
+    stop_timer_.async_wait([action = std::move(action)](error_code) { action(); });
   };
-  const auto fail_rest = [this, after, left, done] {
+  const auto fail_remaining = [this, run_after, draining_servers, done] {
     core_.FailAll();
     if (edge_) edge_->FailAll();
-    after(kFlush, [left, done] {
-      *left = 1;
+    run_after(kFlushTime, [draining_servers, done] {
+      *draining_servers = 1;
       done();
     });
   };
-  const auto drain = [this, after, done, times, fail_rest] {
+  const auto drain = [this, run_after, done, times, fail_remaining] {
     clients_.Drain(done);
     if (edge_) edge_->front().Drain(done);
-    after(times.answer - times.serve, fail_rest);
+    run_after(times.answer_until - times.serve_until, fail_remaining);
   };
-  // The next process takes what comes; here only what was taken is finished.
+  // The successor accepts new connections. This process only answers the requests that it has accepted.
   if (hot_restart_ && hot_restart_->successor_serving()) {
     clients_.Drain(done);
     if (edge_) edge_->front().Drain(done);
-    return after(times.answer, fail_rest);
+    return run_after(times.answer_until, fail_remaining);
   }
-  after(times.accept, [this, after, times, drain] {
+  run_after(times.accept_until, [this, run_after, times, drain] {
     clients_.StopListening();
-    after(times.serve - times.accept, drain);
+    run_after(times.serve_until - times.accept_until, drain);
   });
 }
 
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -1,4 +1,6 @@
-// One gateway in service: the core with its front, its hosts, discovery and the operators' calls around it.
+/// @file
+/// One gateway with all its parts: client server, core, connections to hosts, discovery, tunnels, peers,
+/// admin server and hot restart.
 #ifndef MEADOWYARD_APP_SERVICE_HPP_
 #define MEADOWYARD_APP_SERVICE_HPP_
 
@@ -33,49 +35,58 @@
 
 namespace meadowyard::app {
 
+/// One gateway on an event loop: creates the parts and connects them. Not thread-safe.
 class Service : public operations::AdminDelegate, public operations::HotRestartDelegate {
  public:
-  // Listens and watches at once. Throws std::exception if the settings or the address can't work.
-  // With an operators' file it takes tunnels too.
+  /// Listens and watches discovery at once. Throws std::exception if the settings are invalid or an address
+  /// can't be bound. `edge` is the operators' file for tunnels; null: no tunnels.
   Service(boost::asio::io_context& io, const config::Configuration& config,
           std::shared_ptr<const EdgeConfig> edge = nullptr)
       : Service(io, config, {}, {}, std::move(edge)) {}
-  // Follows another process: begins with what that one knows, and at its listening socket.
+  /// The successor of a hot restart: starts with the predecessor's state and its listening sockets. Without
+  /// `predecessor` and `state` the same as above.
   Service(boost::asio::io_context& io, const config::Configuration& config,
           std::optional<operations::PredecessorState> predecessor,
           std::optional<operations::HandoverState> state, std::shared_ptr<const EdgeConfig> edge = nullptr);
 
+  /// The address that clients connect to.
   boost::asio::ip::tcp::endpoint address() const { return clients_.address(); }
 
-  // Where operators call; throws std::bad_optional_access where the configuration has no such place.
+  /// The address of the admin server. Throws std::bad_optional_access if none is configured.
   boost::asio::ip::tcp::endpoint admin_address() const { return admin_.value().address(); }
 
-  // Takes over what a changed configuration may change while the gateway runs: the settings, and where
-  // discovery is.
+  /// Applies the parts of a changed configuration that may change while the gateway runs: the settings and
+  /// the address of discovery. Throws EdgeError, with nothing changed, if the settings already have
+  /// the tunnels' class.
   void Reload(const config::Configuration& config);
-  // The same of the operators' file: all of it, or, with a throw that says why, nothing.
+  /// Applies a changed operators' file for tunnels. Throws std::exception, with nothing changed, if the file
+  /// can't be used.
   void ReloadEdge(std::shared_ptr<const EdgeConfig> edge);
-  // What gateways in front of the same hosts tell each other, from now on by this file.
-  void KnowPeers(membership::PeersConfig peers);
-  EdgeService& edge() { return edge_.value(); }  // throws std::bad_optional_access without a file
-  // A changed configuration was turned down.
-  void KeptSettings() { core_.metrics().Configured(false); }
+  /// Applies a peers file: the gateways in front of the same hosts, and how they share the hosts.
+  void ConfigurePeers(membership::PeersConfig peers);
+  /// Throws std::bad_optional_access without an operators' file for tunnels.
+  EdgeService& edge() { return edge_.value(); }
+  /// Counts a changed configuration that was rejected.
+  void OnConfigurationRejected() { core_.metrics().Configured(false); }
 
-  // A planned end, in times from its beginning. SIGKILL comes at 3,700 ms or later.
+  /// The phases of a graceful shutdown, in ms from its start. With deadlines of 3 s or more, SIGKILL comes at
+  /// 3,700 ms or later.
   struct StopTimes {
-    Millis accept = 500;  // until then connections are taken: they go on coming for up to 400
-    Millis serve =
-        2200;  // until then those that are open are served as ever: their clients have nowhere better
-    Millis answer = 3300;  // by then all is answered: the rest is failed
+    /// New connections are accepted until then, because they continue to arrive for up to 400 ms.
+    Millis accept_until = 500;
+    /// Open connections are served normally until then: their clients have no better gateway.
+    Millis serve_until = 2200;
+    /// Requests that are unanswered at this time are failed.
+    Millis answer_until = 3300;
   };
-  // Takes, serves and answers as `times` say, then calls `done`.
+  /// Shuts down gracefully by `times`, then calls `done`. Further calls do nothing.
   void Stop(std::function<void()> done, StopTimes times);
-  // The same in the times that the longest deadline leaves.
+  /// The same with `serve_until` and `answer_until` reduced if the longest deadline is less than 3 s.
   void Stop(std::function<void()> done);
 
  private:
   // operations::AdminDelegate
-  bool IsReady() override { return listed_ && !stopping_; }
+  bool IsReady() override { return has_endpoints_ && !stopping_; }
   std::string MetricsJson() override;
   bool ChangeMaintenance(const operations::MaintenanceChange& change) override;
   std::optional<std::string> TunnelsJson() override;
@@ -97,25 +108,28 @@
                    operations::Descriptor host) override;
   void OnMaintenanceChanged(const operations::MaintenanceChange& change) override;
 
-  void ToldByDiscovery(const discovery::EndpointList& list);
-  discovery::EndpointList WholeList() const;
-  void Told(const discovery::EndpointList& list);
-  void ListFailed();
-  // The settings in force for the core: with the room that there is, and the tunnels' class.
-  Settings Fitted() const;
-  EdgeService::Fleet FleetForTunnels();
-  // Why nothing new may go to a host of the fleet; empty: it may.
-  std::string Unusable(const std::string& host) const;
+  /// This gateway's own discovery client has delivered `list`.
+  void OnDiscoveryUpdate(const discovery::EndpointList& list);
+  discovery::EndpointList CurrentEndpointList() const;
+  /// Applies a list or changes to it, from discovery, a peer, the predecessor or the configuration.
+  void ApplyEndpointList(const discovery::EndpointList& list);
+  void OnDiscoveryFailed();
+  /// The settings for the core: the configured ones with the tunnels' class, the descriptor budget and the
+  /// peers file applied.
+  Settings EffectiveSettings() const;
+  EdgeService::DiscoveredPool DiscoveredPoolForTunnels();
+  /// Why a discovered host gets no new tunnels; empty if it may get them.
+  std::string IneligibilityReason(const std::string& host) const;
 
   core::AsioClock clock_;
-  const config::Configuration config_;  // as at the start
-  std::shared_ptr<const nlohmann::json> file_;
-  Settings settings_;                            // as in the file in force
-  std::shared_ptr<const EdgeConfig> edge_file_;  // null: no tunnels
-  std::size_t others_ = 0;                       // descriptors that the process before this one holds
-  // Where there are peers; before the core, which is told of them.
-  int subset_ = 0;  // hosts that each gateway uses
-  ZoneRoutingSettings locality_;
+  const config::Configuration config_;                            // as loaded at the start
+  std::shared_ptr<const nlohmann::json> configuration_document_;  // of the configuration in force
+  Settings settings_;                                             // of the configuration in force
+  std::shared_ptr<const EdgeConfig> edge_config_;                 // null: no tunnels
+  std::size_t predecessor_descriptors_ = 0;  // file descriptors that the predecessor holds
+  // From the peers file. Declared before core_, which is constructed with EffectiveSettings().
+  int subset_size_ = 0;  // hosts that each gateway uses; 0 without peers
+  ZoneRoutingSettings zone_routing_;
   Budget budget_;
   StallDetector stall_detector_;
   HostPool hosts_;
@@ -124,11 +138,11 @@
   core::Gateway core_;
   discovery::DiscoveryClient discovery_;
   ClusterService peers_;
-  std::map<std::string, discovery::EndpointRecord> list_;  // as discovery told it
-  bool listed_ = false;                                    // some list of hosts is known
+  std::map<std::string, discovery::EndpointRecord> endpoints_;  // by id, as in the latest list
+  bool has_endpoints_ = false;                                  // a list with at least one host was applied
   bool stopping_ = false;
-  boost::asio::steady_timer stop_;
-  boost::asio::steady_timer ask_again_;
+  boost::asio::steady_timer stop_timer_;
+  boost::asio::steady_timer discovery_retry_timer_;
   ClientServer clients_;
   std::optional<EdgeService> edge_;
   std::optional<operations::AdminServer> admin_;
--- a/src/app/stall_detector.cpp
+++ b/src/app/stall_detector.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 constexpr Millis kTickInterval = 200;
-/// Without a tick for this long the process has stalled. With the tick that was due in it, this is less than
-/// the second that an endpoint update may go unheeded.
+/// Without a tick for this long the process has stalled. Together with kTickInterval, this is less than the
+/// 1 s within which an endpoint update must take effect.
 constexpr Millis kStallThreshold = 700;
-/// How long attempts wait for discovery: it may be down, and endpoints serve without it.
+/// How long attempts wait for discovery's answer. Discovery may be down, and the endpoints serve without it.
 constexpr Millis kPollTimeout = 1000;
 
 }  // namespace
@@ -24,7 +24,7 @@
   tick_.expires_after(core::ToDuration(kTickInterval));
   tick_.async_wait([this](boost::system::error_code ec) {
     if (ec) return;
-    (void)IsListCurrent();  // before the next tick: a stall may be noticed here first
+    (void)IsListCurrent();  // before the next tick is scheduled: it may be this call that detects a stall
     ScheduleTick();
   });
 }
@@ -32,9 +32,9 @@
 bool StallDetector::IsListCurrent() {
   if (polling_) return false;
   if (core::Now() - ticked_at_ < kStallThreshold) return true;
-  // Had the event loop been running, the next tick would have come by then.
-  const Millis stalled_by = std::exchange(ticked_at_, core::Now()) + 2 * kTickInterval;
-  if (!handlers_.poll_endpoints(stalled_by)) return true;
+  // If the event loop had been running, the next tick would have occurred by this time.
+  const Millis latest_stall_start = std::exchange(ticked_at_, core::Now()) + 2 * kTickInterval;
+  if (!handlers_.poll_endpoints(latest_stall_start)) return true;
   polling_ = true;
   poll_timeout_.expires_after(core::ToDuration(kPollTimeout));
   poll_timeout_.async_wait([this](boost::system::error_code ec) {
--- a/src/app/stall_detector.hpp
+++ b/src/app/stall_detector.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Notices that the process stood still: stopped by a signal, or without its core for a while.
+/// Detects that the process was stalled: stopped by a signal, or not scheduled on a core for a while.
 #ifndef MEADOWYARD_APP_STALL_DETECTOR_HPP_
 #define MEADOWYARD_APP_STALL_DETECTOR_HPP_
 
@@ -11,26 +11,28 @@
 
 namespace meadowyard::app {
 
-/// Keeps requests back after a stall until the endpoint list is current again.
+/// Holds attempts back after a stall until the endpoint list is current again.
 ///
-/// After a stall, clients' requests and endpoint updates lie side by side in sockets, and whichever is read
-/// first is handled first; what discovery has learned since its last answer is not even there. So the first
-/// attempt after a stall causes a poll of discovery, and nothing is sent until discovery has answered or a
-/// time-out has passed. A poll that fails is repeated meanwhile: after a stall its time may have run out for
-/// no fault of discovery.
+/// After a stall, both clients' requests and endpoint updates are pending in socket buffers, and the event
+/// loop may handle a request before the update that removes an endpoint. Changes that discovery has learned
+/// of since its last answer are not in the buffers at all. Therefore the first attempt after a stall triggers
+/// a poll of discovery, and no attempt is sent until discovery has answered or a time-out has passed. A poll
+/// that fails is repeated in that time, because after a stall it may have timed out without a fault of
+/// discovery.
 class StallDetector {
  public:
   struct Handlers {
-    /// Polls discovery unless it was polled after `since`. False if another process or a peer polls it.
+    /// Polls discovery on a new connection, unless the current one was opened after `since`. False if this
+    /// process doesn't watch discovery, because another process or a peer does.
     std::function<bool(Millis since)> poll_endpoints;
-    /// What was kept back may be sent.
+    /// The attempts that were held back may be sent.
     std::function<void()> resume;
   };
 
   StallDetector(boost::asio::io_context& io, Handlers handlers);
 
-  /// Whether the endpoint list is no older than the last turn of the event loop. If it is not, the resume
-  /// handler follows.
+  /// False if the event loop has stalled and the poll of discovery that follows is still pending. The resume
+  /// handler is called when that poll has ended.
   [[nodiscard]] bool IsListCurrent();
   /// Discovery has answered.
   void OnDiscoveryAnswered();
