--- a/tests/exhaustion_test.cpp
+++ b/tests/exhaustion_test.cpp
@@ -1,5 +1,5 @@
-// The real program where something runs out: it neither ends nor spins, what is open is answered, operators
-// are answered, and once there is room again it serves as before.
+// The real program when a resource is exhausted: it neither ends nor enters a busy loop, answers the open
+// requests and the operators, and serves normally again once the resource is available.
 #include <dirent.h>
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -13,16 +13,16 @@
 namespace meadowyard::testing {
 namespace {
 
-// An instrumented program needs descriptors and memory of its own for its checks: without them it ends for
-// that.
+// AddressSanitizer itself needs descriptors and memory and ends the program when it gets none, so a program
+// that is built with it can't run the tests that exhaust them.
 #if defined(__SANITIZE_ADDRESS__)
-constexpr bool kInstrumented = true;
+constexpr bool kAddressSanitizer = true;
 #else
-constexpr bool kInstrumented = false;
+constexpr bool kAddressSanitizer = false;
 #endif
 
-// What the process has used of a core, in ms.
-long Worked(const Process& process) {
+// User and system time of the process, in ms.
+long CpuTimeMs(const Process& process) {
   std::ifstream stat("/proc/" + std::to_string(process.id()) + "/stat");
   std::string text((std::istreambuf_iterator<char>(stat)), {});
   std::istringstream fields(text.substr(text.rfind(')') + 2));
@@ -33,7 +33,8 @@
   return (user + system) * 1000 / sysconf(_SC_CLK_TCK);
 }
 
-long OfStatus(const Process& process, const std::string& field) {  // in KiB
+// A field of /proc/PID/status, in KiB.
+long ProcStatusKib(const Process& process, const std::string& field) {
   std::ifstream status("/proc/" + std::to_string(process.id()) + "/status");
   for (std::string line; std::getline(status, line);) {
     if (line.starts_with(field)) return std::atol(line.c_str() + field.size() + 1);
@@ -41,232 +42,248 @@
   return 0;
 }
 
-void Limit(const Process& process, __rlimit_resource resource, rlim_t most) {
+void SetSoftLimit(const Process& process, __rlimit_resource resource, rlim_t soft_limit) {
   rlimit limit{};
   prlimit(process.id(), resource, nullptr, &limit);
-  limit.rlim_cur = std::min(most, limit.rlim_max);
+  limit.rlim_cur = std::min(soft_limit, limit.rlim_max);
   ASSERT_EQ(prlimit(process.id(), resource, &limit, nullptr), 0);
 }
 
-// No further descriptor is to be had.
-void TakeAllDescriptors(const Process& process) {
-  std::set<int> used;
-  DIR* const folder = opendir(("/proc/" + std::to_string(process.id()) + "/fd").c_str());
-  while (const dirent* entry = readdir(folder)) used.insert(std::atoi(entry->d_name));
-  closedir(folder);
-  rlim_t free = 0;
-  while (used.contains(static_cast<int>(free))) ++free;
-  Limit(process, RLIMIT_NOFILE, free);
+// Lowers the descriptor limit so that the process can open no further descriptor.
+void ExhaustDescriptors(const Process& process) {
+  std::set<int> open_descriptors;
+  DIR* const directory = opendir(("/proc/" + std::to_string(process.id()) + "/fd").c_str());
+  while (const dirent* entry = readdir(directory)) open_descriptors.insert(std::atoi(entry->d_name));
+  closedir(directory);
+  rlim_t lowest_free = 0;
+  while (open_descriptors.contains(static_cast<int>(lowest_free))) ++lowest_free;
+  SetSoftLimit(process, RLIMIT_NOFILE, lowest_free);
 }
 
 struct Exhaustion : ::testing::Test {
-  // It serves: on a new connection, and with all that it counts back at nothing.
-  void ServesAsBefore(Service::Version& version) {
+  // The program answers requests on new connections, and its count of open requests returns to 0.
+  void ExpectNormalService(ProgramHarness::ProgramInstance& instance) {
     for (int i = 0; i < 3; ++i) {
-      Client client(service.io, service.listen);
+      Client client(harness.io, harness.listen_address);
       client.Send(ApiCall("after" + std::to_string(i), i == 1 ? "pay" : "view"));
       EXPECT_EQ(client.Await().body(), "after" + std::to_string(i));
     }
-    EXPECT_TRUE(RunUntil(service.io, [&] { return service.Figures(version)["current"] == 0; }));
-    EXPECT_FALSE(version.process->Ended());
+    EXPECT_TRUE(RunUntil(harness.io, [&] { return harness.Metrics(instance)["current"] == 0; }));
+    EXPECT_FALSE(instance.process->Ended());
   }
-  // While something has run out: operators are answered, and time passes without work.
-  void BearsIt(Service::Version& version) {
-    const long before = Worked(*version.process);
-    const auto from = std::chrono::steady_clock::now();
-    while (std::chrono::steady_clock::now() < from + std::chrono::milliseconds(600)) {
-      const auto asked = std::chrono::steady_clock::now();
-      EXPECT_EQ(service.Call(version, "GET /status"), 200u);
-      EXPECT_LT(std::chrono::steady_clock::now() - asked, std::chrono::seconds(1));
-      ASSERT_FALSE(version.process->Ended()) << version.process->Errors();
-      service.io.run_for(std::chrono::milliseconds(50));
+  // While the resource is exhausted, operators' calls are answered and the program uses little CPU time.
+  void ExpectResponsiveWithoutBusyLoop(ProgramHarness::ProgramInstance& instance) {
+    const long before = CpuTimeMs(*instance.process);
+    const auto start = std::chrono::steady_clock::now();
+    while (std::chrono::steady_clock::now() < start + std::chrono::milliseconds(600)) {
+      const auto call_start = std::chrono::steady_clock::now();
+      EXPECT_EQ(harness.CallAdmin(instance, "GET /status"), 200u);
+      EXPECT_LT(std::chrono::steady_clock::now() - call_start, std::chrono::seconds(1));
+      ASSERT_FALSE(instance.process->Ended()) << instance.process->Errors();
+      harness.io.run_for(std::chrono::milliseconds(50));
     }
-    EXPECT_LT(Worked(*version.process) - before, 400) << "it spins";
-    ASSERT_FALSE(version.process->Ended()) << version.process->Errors();
+    EXPECT_LT(CpuTimeMs(*instance.process) - before, 400) << "busy loop";
+    ASSERT_FALSE(instance.process->Ended()) << instance.process->Errors();
   }
-  // A request that a host keeps; its end is the test's.
-  std::unique_ptr<Client> Held(const std::string& id) {
-    auto client = std::make_unique<Client>(service.io, service.listen);
-    const std::size_t before = service.Sent(0) + service.Sent(1);
+  // Sends a request that its host leaves unanswered until AnswerHeldRequests().
+  std::unique_ptr<Client> StartHeldRequest(const std::string& id) {
+    auto client = std::make_unique<Client>(harness.io, harness.listen_address);
+    const std::size_t before = harness.RequestCount(0) + harness.RequestCount(1);
     client->Send(ApiCall(id, "pay", "15000m", "", "Req-Key: keep\r\n"));
-    EXPECT_TRUE(RunUntil(service.io, [&] { return service.Sent(0) + service.Sent(1) > before; }));
+    EXPECT_TRUE(
+        RunUntil(harness.io, [&] { return harness.RequestCount(0) + harness.RequestCount(1) > before; }));
     return client;
   }
-  void AnswerHeld() {
-    for (const auto& host : service.hosts) {
-      for (const auto& taken : host->requests) {
-        if (taken.http["Req-Key"] == "keep") taken.Answer(200, std::string(taken.http["Req-Id"]));
+  void AnswerHeldRequests() {
+    for (const auto& host : harness.hosts) {
+      for (const auto& request : host->requests) {
+        if (request.http["Req-Key"] == "keep") request.Answer(200, std::string(request.http["Req-Id"]));
       }
     }
   }
 
-  Service service;
+  ProgramHarness harness;
 };
 
-// Accepting, dialling, discovery and operators' calls, each with no descriptor to be had.
-TEST_F(Exhaustion, OfDescriptors) {
-  if (kInstrumented) GTEST_SKIP() << "shown in Release alone";
-  auto version = service.Start();
-  const auto open = Held("open"), kept = Held("kept");
-  ASSERT_TRUE(RunUntil(service.io, [&] { return !service.discovery.requests.empty(); }));
-  const std::size_t asked = service.discovery.requests.size();
-  TakeAllDescriptors(*version.process);
-  Client waits(service.io, service.listen);  // accepted by the kernel alone
-  waits.Send(ApiCall("waits"));
-  service.discovery.requests.back().on->Close();  // a new connection is wanted
-  BearsIt(version);
-  EXPECT_TRUE(RunUntil(service.io, [&] { return service.discovery.requests.size() > asked; }))
-      << "hosts that leave must be learned of all the same";
-  AnswerHeld();
-  EXPECT_EQ(open->Await().body(), "open");
-  EXPECT_EQ(kept->Await().body(), "kept");
-  for (int i = 2; i < 6; ++i) {  // with the connections that there are
-    open->Send(ApiCall("more" + std::to_string(i)));
-    EXPECT_GE(open->Await(static_cast<std::size_t>(i)).result_int(), 200u);
+// Guards against a crash, a busy loop or a missed endpoint update when no descriptor is left for accepting
+// clients, connecting to hosts and discovery, and operators' calls.
+TEST_F(Exhaustion, ServesAgainAfterRunningOutOfDescriptors) {
+  if (kAddressSanitizer) GTEST_SKIP() << "needs a build without AddressSanitizer";
+  auto instance = harness.Start();
+  const auto held_client = StartHeldRequest("open"), second_held_client = StartHeldRequest("kept");
+  ASSERT_TRUE(RunUntil(harness.io, [&] { return !harness.discovery.requests.empty(); }));
+  const std::size_t polls_before = harness.discovery.requests.size();
+  ExhaustDescriptors(*instance.process);
+  Client unaccepted_client(
+      harness.io,
+      harness.listen_address);  // connected in the kernel's backlog, not yet accepted by the program
+  unaccepted_client.Send(ApiCall("waits"));
+  harness.discovery.requests.back().on->Close();  // the next poll needs a new connection
+  ExpectResponsiveWithoutBusyLoop(instance);
+  EXPECT_TRUE(RunUntil(harness.io, [&] { return harness.discovery.requests.size() > polls_before; }))
+      << "the removal of hosts must be discovered without a free descriptor too";
+  AnswerHeldRequests();
+  EXPECT_EQ(held_client->Await().body(), "open");
+  EXPECT_EQ(second_held_client->Await().body(), "kept");
+  for (int i = 2; i < 6; ++i) {  // on the connections that are open already
+    held_client->Send(ApiCall("more" + std::to_string(i)));
+    EXPECT_GE(held_client->Await(static_cast<std::size_t>(i)).result_int(), 200u);
   }
-  Limit(*version.process, RLIMIT_NOFILE, 1024);
-  const unsigned status = waits.Await().result_int();  // refused, if it was let in before there was room
+  SetSoftLimit(*instance.process, RLIMIT_NOFILE, 1024);
+  const unsigned status =
+      unaccepted_client.Await()
+          .result_int();  // 503 if it was accepted before a descriptor was free for a host
   EXPECT_TRUE(status == 200 || status == 503) << status;
-  ServesAsBefore(version);
+  ExpectNormalService(instance);
 }
 
-// Idle clients take all the places that there are while discovery is down: when it is back it is asked.
-TEST_F(Exhaustion, OfPlacesByIdleClientsWhileDiscoveryIsDown) {
-  service.config["limits"] = {{"sockets", 120}};
-  service.Write(service.config.dump());
-  const auto limited = [] {
+// Guards against a stale endpoint list: idle clients hold all sessions when the connection to discovery is
+// closed. The gateway must still poll discovery, and send nothing more to the host that drains by then.
+TEST_F(Exhaustion, PollsDiscoveryWhileIdleClientsHoldAllSessions) {
+  harness.config["limits"] = {{"sockets", 120}};
+  harness.WriteConfig(harness.config.dump());
+  const auto lower_descriptor_limit = [] {
     const rlimit limit{120, 120};
     setrlimit(RLIMIT_NOFILE, &limit);
   };
-  auto version = service.Start(kInstrumented ? std::function<void()>() : limited);
-  ASSERT_TRUE(RunUntil(service.io, [&] { return !service.discovery.requests.empty(); }));
-  const std::size_t asked = service.discovery.requests.size();
-  std::vector<std::unique_ptr<Client>> idle;
+  auto instance = harness.Start(kAddressSanitizer ? std::function<void()>() : lower_descriptor_limit);
+  ASSERT_TRUE(RunUntil(harness.io, [&] { return !harness.discovery.requests.empty(); }));
+  const std::size_t polls_before = harness.discovery.requests.size();
+  std::vector<std::unique_ptr<Client>> idle_clients;
   for (int i = 0; i < 300; ++i) {
-    idle.push_back(std::make_unique<Client>(service.io, service.listen));
-    if (i % 3 == 0) idle.back()->Send(ApiCall("idle" + std::to_string(i)));
-    service.io.poll();
+    idle_clients.push_back(std::make_unique<Client>(harness.io, harness.listen_address));
+    if (i % 3 == 0) idle_clients.back()->Send(ApiCall("idle" + std::to_string(i)));
+    harness.io.poll();
   }
-  service.discovery.requests.back().on->Close();
-  EXPECT_TRUE(RunUntil(service.io, [&] { return service.discovery.requests.size() > asked; }));
-  service.discovery.requests.back().Answer(
-      200, List(2, false, {Member("h0", service.hosts[0]->address(), "draining")}).dump());
-  ASSERT_TRUE(RunUntil(service.io, [&] { return service.discovery.requests.size() > asked + 1; }));
-  const std::size_t sent = service.Sent(0);
-  idle.clear();
+  harness.discovery.requests.back().on->Close();
+  EXPECT_TRUE(RunUntil(harness.io, [&] { return harness.discovery.requests.size() > polls_before; }));
+  harness.discovery.requests.back().Answer(
+      200, List(2, false, {Member("h0", harness.hosts[0]->address(), "draining")}).dump());
+  ASSERT_TRUE(RunUntil(harness.io, [&] { return harness.discovery.requests.size() > polls_before + 1; }));
+  const std::size_t received_before = harness.RequestCount(0);
+  idle_clients.clear();
   for (int i = 0; i < 10; ++i) {
-    Client client(service.io, service.listen);
+    Client client(harness.io, harness.listen_address);
     client.Send(ApiCall("after" + std::to_string(i)));
     EXPECT_EQ(client.Await().body(), "after" + std::to_string(i));
   }
-  EXPECT_EQ(service.Sent(0), sent);
+  EXPECT_EQ(harness.RequestCount(0), received_before);
 }
 
-// A flood of bodies that hosts don't take in, with no memory for them.
-TEST_F(Exhaustion, OfMemory) {
-  if (kInstrumented) GTEST_SKIP() << "shown in Release alone";
-  service.config["limits"] = {{"memory_mb", 4000}, {"sockets", 1000}};
-  service.Write(service.config.dump());
-  auto version = service.Start();
-  const auto open = Held("open");
-  Limit(*version.process, RLIMIT_AS, static_cast<rlim_t>(OfStatus(*version.process, "VmSize:") + 2000) << 10);
-  std::vector<std::unique_ptr<Client>> flood;
-  const auto refused = [&] {
-    return std::count_if(flood.begin(), flood.end(), [](const auto& client) {
+// Guards against a crash by std::bad_alloc: a burst of requests with large bodies, which hosts leave
+// unanswered, uses up the memory.
+TEST_F(Exhaustion, ServesAgainAfterRunningOutOfMemory) {
+  if (kAddressSanitizer) GTEST_SKIP() << "needs a build without AddressSanitizer";
+  harness.config["limits"] = {{"memory_mb", 4000}, {"sockets", 1000}};
+  harness.WriteConfig(harness.config.dump());
+  auto instance = harness.Start();
+  const auto held_client = StartHeldRequest("open");
+  SetSoftLimit(*instance.process, RLIMIT_AS,
+               static_cast<rlim_t>(ProcStatusKib(*instance.process, "VmSize:") + 2000) << 10);
+  std::vector<std::unique_ptr<Client>> flood_clients;
+  const auto rejected_count = [&] {
+    return std::count_if(flood_clients.begin(), flood_clients.end(), [](const auto& client) {
       return !client->answers().empty() && client->answers()[0].result_int() == 503;
     });
   };
   for (int i = 0; i < 400; ++i) {
-    flood.push_back(std::make_unique<Client>(service.io, service.listen));
-    flood.back()->Send(
+    flood_clients.push_back(std::make_unique<Client>(harness.io, harness.listen_address));
+    flood_clients.back()->Send(
         ApiCall("flood" + std::to_string(i), "pay", "15000m", std::string(60000, 'x'), "Req-Key: keep\r\n"));
-    service.io.poll();
+    harness.io.poll();
   }
-  ASSERT_TRUE(RunUntil(service.io, [&] { return refused() > 0; }));
-  BearsIt(version);
-  AnswerHeld();
-  EXPECT_EQ(open->Await().body(), "open");
-  std::cout << refused() << " of 400 refused for want of memory, others left at the door\n";
-  Limit(*version.process, RLIMIT_AS, RLIM_INFINITY);
-  flood.clear();
-  // The reserve is there again once it is asked for.
-  EXPECT_TRUE(RunUntil(service.io, [&] {
-    Client probe(service.io, service.listen);
+  ASSERT_TRUE(RunUntil(harness.io, [&] { return rejected_count() > 0; }));
+  ExpectResponsiveWithoutBusyLoop(instance);
+  AnswerHeldRequests();
+  EXPECT_EQ(held_client->Await().body(), "open");
+  std::cout << rejected_count()
+            << " of 400 requests rejected for lack of memory; the others were not accepted\n";
+  SetSoftLimit(*instance.process, RLIMIT_AS, RLIM_INFINITY);
+  flood_clients.clear();
+  // Requests may be rejected at first: the memory reserve is mapped again when a request checks for it.
+  EXPECT_TRUE(RunUntil(harness.io, [&] {
+    Client probe(harness.io, harness.listen_address);
     probe.Send(ApiCall("probe"));
     return probe.Await().result_int() == 200;
   }));
-  ServesAsBefore(version);
+  ExpectNormalService(instance);
 }
 
 struct LogCase {
   const char* name;
-  bool limited;  // its size
-  const char* path;
+  bool size_limited;  // the log file's size is limited
+  const char* path;   // of the log; null: a pipe
 };
-class ExhaustionOfLog : public Exhaustion, public ::testing::WithParamInterface<LogCase> {};
+class ExhaustionOfLogOutput : public Exhaustion, public ::testing::WithParamInterface<LogCase> {};
 
-// A log on a device that is full, in a file at its limit, in a pipe that nobody reads or that is closed.
-TEST_P(ExhaustionOfLog, IsNoReasonToEndOrToWait) {
-  const LogCase& c = GetParam();
-  int ends[2] = {-1, -1};
-  const std::string path = c.path == nullptr ? "" : c.path[0] == '/' ? c.path : service.folder + "/" + c.path;
-  if (c.path == nullptr) {
-    ASSERT_EQ(pipe2(ends, O_CLOEXEC), 0);
+// Guards against a log that can't be written ending or blocking the program: it goes to a full device, to a
+// file at its size limit, to a pipe without a reader's progress or to a closed pipe.
+TEST_P(ExhaustionOfLogOutput, ServesWhileLogCannotBeWritten) {
+  const LogCase& test_case = GetParam();
+  int pipe_ends[2] = {-1, -1};
+  const std::string path = test_case.path == nullptr  ? ""
+                           : test_case.path[0] == '/' ? test_case.path
+                                                      : harness.directory + "/" + test_case.path;
+  if (test_case.path == nullptr) {
+    ASSERT_EQ(pipe2(pipe_ends, O_CLOEXEC), 0);
   }
-  const bool closed = std::string(c.name) == "ClosedPipe";
-  if (closed) close(std::exchange(ends[0], -1));
-  auto version = service.Start([&] {
-    const int to = c.path == nullptr ? ends[1] : open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
-    dup2(to, STDERR_FILENO);
+  const bool pipe_closed = std::string(test_case.name) == "ClosedPipe";
+  if (pipe_closed) close(std::exchange(pipe_ends[0], -1));
+  auto instance = harness.Start([&] {
+    const int log_descriptor =
+        test_case.path == nullptr ? pipe_ends[1] : open(path.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
+    dup2(log_descriptor, STDERR_FILENO);
     const rlimit limit = {2000, 2000};
-    if (c.limited) setrlimit(RLIMIT_FSIZE, &limit);
+    if (test_case.size_limited) setrlimit(RLIMIT_FSIZE, &limit);
   });
-  const auto open = Held("open");
-  service.Write("{");  // each reload is told of in a line
+  const auto held_client = StartHeldRequest("open");
+  harness.WriteConfig("{");  // invalid, so that each reload writes a log line
   for (int n = 1; n <= 900; ++n) {
-    version.process->HangUp();
-    ASSERT_TRUE(RunUntil(service.io, [&] { return service.Figures(version)["conf_invalid"] >= n; }));
-    if (version.process->Ended()) break;
-    if (c.path != nullptr && n == 50) break;  // a pipe holds 64 KiB
+    instance.process->HangUp();
+    ASSERT_TRUE(RunUntil(harness.io, [&] { return harness.Metrics(instance)["conf_invalid"] >= n; }));
+    if (instance.process->Ended()) break;
+    if (test_case.path != nullptr && n == 50) break;  // only a pipe, which holds 64 KiB, needs more lines
   }
-  BearsIt(version);
-  AnswerHeld();
-  EXPECT_EQ(open->Await().body(), "open");
-  ServesAsBefore(version);
-  if (c.path == nullptr && !closed) {  // read again, it goes on, and says what was lost
+  ExpectResponsiveWithoutBusyLoop(instance);
+  AnswerHeldRequests();
+  EXPECT_EQ(held_client->Await().body(), "open");
+  ExpectNormalService(instance);
+  if (test_case.path == nullptr &&
+      !pipe_closed) {  // once the pipe is read, the log continues and reports the lost lines
     std::string text;
-    EXPECT_TRUE(RunUntil(service.io, [&] {
-      char piece[65536];
-      const ssize_t got = read(ends[0], piece, sizeof piece);
-      text.append(piece, static_cast<std::size_t>(std::max<ssize_t>(0, got)));
-      version.process->HangUp();
-      service.Call(version, "GET /status");
+    EXPECT_TRUE(RunUntil(harness.io, [&] {
+      char buffer[65536];
+      const ssize_t received = read(pipe_ends[0], buffer, sizeof buffer);
+      text.append(buffer, static_cast<std::size_t>(std::max<ssize_t>(0, received)));
+      instance.process->HangUp();
+      harness.CallAdmin(instance, "GET /status");
       return text.find("log_lines_lost") != std::string::npos;
     }));
   }
-  for (const int end : ends) {
-    if (end >= 0) close(end);
+  for (const int pipe_end : pipe_ends) {
+    if (pipe_end >= 0) close(pipe_end);
   }
-  if (c.path != nullptr && path[0] != '/') std::remove(path.c_str());
-  std::remove((service.folder + "/log").c_str());
+  if (test_case.path != nullptr && path[0] != '/') std::remove(path.c_str());
+  std::remove((harness.directory + "/log").c_str());
 }
 
-INSTANTIATE_TEST_SUITE_P(In, ExhaustionOfLog,
+INSTANTIATE_TEST_SUITE_P(In, ExhaustionOfLogOutput,
                          ::testing::Values(LogCase{"FullDevice", false, "/dev/full"},
                                            LogCase{"FileAtItsLimit", true, "log"},
                                            LogCase{"StalledPipe", false, nullptr},
                                            LogCase{"ClosedPipe", false, nullptr}),
                          [](const auto& info) { return info.param.name; });
 
-// A $TMPDIR that can't be written to: it serves; the next version starts on its own, and both are told of.
-TEST_F(Exhaustion, OfTheFolderForTheHandOver) {
-  auto version = service.Start(nullptr, "/dev/null");
-  ServesAsBefore(version);
-  EXPECT_NE(version.process->Errors().find("hot_restart_unavailable"), std::string::npos);
-  auto next = service.Start(nullptr, "/dev/null");
-  version.process->Terminate();
-  EXPECT_TRUE(RunUntil(service.io, [&] { return version.process->Ended(); }));
-  ServesAsBefore(next);
+// Guards against a $TMPDIR that can't be written, in which the hot-restart socket can't be created: the
+// program serves and logs the fact, and the successor starts without a hand-over.
+TEST_F(Exhaustion, ServesWithoutHotRestartWhenTmpdirIsNotWritable) {
+  auto instance = harness.Start(nullptr, "/dev/null");
+  ExpectNormalService(instance);
+  EXPECT_NE(instance.process->Errors().find("hot_restart_unavailable"), std::string::npos);
+  auto successor = harness.Start(nullptr, "/dev/null");
+  instance.process->Terminate();
+  EXPECT_TRUE(RunUntil(harness.io, [&] { return instance.process->Ended(); }));
+  ExpectNormalService(successor);
 }
 
 }  // namespace
--- a/tests/process.hpp
+++ b/tests/process.hpp
@@ -1,4 +1,4 @@
-// The program as a child process, for tests.
+// Runs the program as a child process, for tests.
 #ifndef MEADOWYARD_TESTS_PROCESS_HPP_
 #define MEADOWYARD_TESTS_PROCESS_HPP_
 
@@ -20,44 +20,45 @@
 
 namespace meadowyard::testing {
 
-// A loopback port that is free now, below those that the kernel gives to outgoing connections: one of these
-// could take it before the program listens there.
+// A loopback port that is free now. It is below the kernel's range of ephemeral ports, because an outgoing
+// connection could get a port of that range before the program listens on it. Returns 0 if no port is free.
 inline unsigned short FreePortNumber() {
-  constexpr int kFirst = 10000, kPorts = 9000;
-  static int next = static_cast<int>(getpid()) * 37 % kPorts;
-  for (int tries = 0; tries < kPorts; ++tries) {
-    sockaddr_in at{};
-    at.sin_family = AF_INET;
-    at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    at.sin_port = htons(static_cast<unsigned short>(kFirst + next++ % kPorts));
+  constexpr int kFirstPort = 10000, kPortCount = 9000;
+  static int next_offset = static_cast<int>(getpid()) * 37 % kPortCount;
+  for (int attempt = 0; attempt < kPortCount; ++attempt) {
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    address.sin_port = htons(static_cast<unsigned short>(kFirstPort + next_offset++ % kPortCount));
     const int probe = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    const bool free = bind(probe, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0;
+    const bool free = bind(probe, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0;
     close(probe);
-    if (free) return ntohs(at.sin_port);
+    if (free) return ntohs(address.sin_port);
   }
   return 0;
 }
 
+// The program as a child process. The destructor kills it if it still runs.
 class Process {
  public:
-  // Starts the program with the variables given; its standard error goes to a file.
-  // `prepare` runs in the child last before the program.
-  explicit Process(const std::vector<std::pair<std::string, std::string>>& variables,
-                   const std::function<void()>& prepare = nullptr)
-      : errors_(::testing::TempDir() + "meadowyard-err-" + std::to_string(getpid()) + "-" +
-                std::to_string(started_++)),
+  // Starts the program with these environment variables and its standard error in a file. `before_exec` runs
+  // in the child process, immediately before the program is executed.
+  explicit Process(const std::vector<std::pair<std::string, std::string>>& environment,
+                   const std::function<void()>& before_exec = nullptr)
+      : error_path_(::testing::TempDir() + "meadowyard-err-" + std::to_string(getpid()) + "-" +
+                    std::to_string(started_count_++)),
         pid_(fork()) {
     if (pid_ != 0) return;
-    for (const auto& [name, value] : variables) setenv(name.c_str(), value.c_str(), 1);
-    if (std::freopen(errors_.c_str(), "w", stderr) == nullptr) _exit(99);
-    if (prepare) prepare();
+    for (const auto& [name, value] : environment) setenv(name.c_str(), value.c_str(), 1);
+    if (std::freopen(error_path_.c_str(), "w", stderr) == nullptr) _exit(99);
+    if (before_exec) before_exec();
     execl(MEADOWYARD_PROGRAM, MEADOWYARD_PROGRAM, nullptr);
     _exit(98);
   }
   ~Process() {
     if (!ended_) kill(pid_, SIGKILL);
     Wait();
-    std::remove(errors_.c_str());
+    std::remove(error_path_.c_str());
   }
 
   pid_t id() const { return pid_; }
@@ -67,30 +68,33 @@
     if (!ended_) ended_ = waitpid(pid_, &status_, WNOHANG) == pid_;
     return ended_;
   }
-  int Wait() {  // the exit code; -1 if it was killed
+  // Waits for the end of the process. Returns its exit code, or -1 if a signal ended it.
+  int Wait() {
     if (!ended_) ended_ = waitpid(pid_, &status_, 0) == pid_;
     return WIFEXITED(status_) ? WEXITSTATUS(status_) : -1;
   }
+  // What the program has written to standard error so far.
   std::string Errors() const {
     std::stringstream text;
-    text << std::ifstream(errors_).rdbuf();
+    text << std::ifstream(error_path_).rdbuf();
     return text.str();
   }
 
  private:
-  static inline int started_ = 0;
-  const std::string errors_;
+  static inline int started_count_ = 0;
+  const std::string error_path_;
   const pid_t pid_;
   int status_ = 0;
   bool ended_ = false;
 };
 
-struct File {
-  explicit File(const std::string& text)
+// A file that exists until the end of the object's scope. There can be one at a time in a test process.
+struct TemporaryFile {
+  explicit TemporaryFile(const std::string& text)
       : path(::testing::TempDir() + "meadowyard-process-" + std::to_string(getpid()) + ".json") {
     std::ofstream(path) << text;
   }
-  ~File() { std::remove(path.c_str()); }
+  ~TemporaryFile() { std::remove(path.c_str()); }
   const std::string path;
 };
 
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,4 +1,4 @@
-// The program as a process: how it starts, what it says when it can't, and how it ends.
+// The program as a process: start and its errors, signals, shutdown, reload and hot restart.
 #include "process.hpp"
 
 #include <gtest/gtest.h>
@@ -16,33 +16,36 @@
 namespace meadowyard::testing {
 namespace {
 
-// Guards the operator at a broken deployment: one line that names what is wrong, and no running gateway.
-TEST(Program, NamesWhatIsWrongInItsConfiguration) {
-  const auto config = [](const std::function<void(nlohmann::json&)>& spoil) {
+// Guards operators against a deployment with an invalid configuration that fails without a usable message or
+// leaves a gateway running: the program must exit with 1 and print one line that names the error.
+TEST(Program, ExitsWithOneLineThatNamesTheConfigurationError) {
+  const auto config = [](const std::function<void(nlohmann::json&)>& modify) {
     nlohmann::json file = {{"seed", "1f"}, {"settings", TestSettings()}};
-    spoil(file);
+    modify(file);
     return file.dump();
   };
   const std::vector<std::tuple<std::string, std::string, std::string>> cases = {
       {"{\"settings\":", "127.0.0.1:0", "NODE_CONFIG"},
       {config([](auto&) {}), "127.0.0.1", "NODE_LISTEN"},
       {config([](auto&) {}), "127.0.0.1:99999", "NODE_LISTEN"},
-      {config([](auto& f) { f["seed"] = "xyz"; }), "127.0.0.1:0", "seed"},
-      {config([](auto& f) { f.erase("settings"); }), "127.0.0.1:0", "settings"},
-      {config([](auto& f) { f["settings"]["categories"] = nlohmann::json::array(); }), "127.0.0.1:0",
-       "classes"},
-      {config([](auto& f) { f["settings"]["categories"][1]["sloMs"] = "fast"; }), "127.0.0.1:0", "sloMs"},
-      {config([](auto& f) { f["settings"]["limits"]["dialTimeoutMs"] = -1; }), "127.0.0.1:0",
+      {config([](auto& document) { document["seed"] = "xyz"; }), "127.0.0.1:0", "seed"},
+      {config([](auto& document) { document.erase("settings"); }), "127.0.0.1:0", "settings"},
+      {config([](auto& document) { document["settings"]["categories"] = nlohmann::json::array(); }),
+       "127.0.0.1:0", "classes"},
+      {config([](auto& document) { document["settings"]["categories"][1]["sloMs"] = "fast"; }), "127.0.0.1:0",
+       "sloMs"},
+      {config([](auto& document) { document["settings"]["limits"]["dialTimeoutMs"] = -1; }), "127.0.0.1:0",
        "dialTimeoutMs"},
-      {config([](auto& f) { f["known"] = "nobody"; }), "127.0.0.1:0", "known"},
+      {config([](auto& document) { document["known"] = "nobody"; }), "127.0.0.1:0", "known"},
   };
-  for (const auto& [text, listen, named] : cases) {
-    SCOPED_TRACE(named + ": " + text);
-    const File file(text);
-    Process process({{"NODE_CONFIG", file.path}, {"NODE_LISTEN", listen}, {"NODE_DISCOVERY", "127.0.0.1:1"}});
+  for (const auto& [text, listen_address, expected_text] : cases) {
+    SCOPED_TRACE(expected_text + ": " + text);
+    const TemporaryFile file(text);
+    Process process(
+        {{"NODE_CONFIG", file.path}, {"NODE_LISTEN", listen_address}, {"NODE_DISCOVERY", "127.0.0.1:1"}});
     EXPECT_EQ(process.Wait(), 1);
     const std::string errors = process.Errors();
-    EXPECT_NE(errors.find(named), std::string::npos) << errors;
+    EXPECT_NE(errors.find(expected_text), std::string::npos) << errors;
     EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 1) << errors;
   }
   Process process({{"NODE_LISTEN", "127.0.0.1:0"}, {"NODE_DISCOVERY", "127.0.0.1:1"}});
@@ -50,26 +53,26 @@
   EXPECT_NE(process.Errors().find("NODE_CONFIG"), std::string::npos);
 }
 
-// Guards a planned restart as the platform does it: SIGTERM with work in hand, the answer, exit code 0.
-TEST(Program, AnswersItsWorkOnSigtermAndExitsCleanly) {
+// Guards against a planned restart that loses a request: the platform sends SIGTERM while one is open.
+TEST(Program, AnswersOpenRequestsOnSigtermAndExitsWithZero) {
   asio::io_context io;
   Peer host(io), discovery(io);
-  const tcp::endpoint listen = Loopback(FreePortNumber());
+  const tcp::endpoint listen_address = Loopback(FreePortNumber());
   const nlohmann::json config = {
       {"seed", "1f"}, {"known", List(1, true, {Member("h0", host.address())})}, {"settings", TestSettings()}};
-  const File file(config.dump());
+  const TemporaryFile file(config.dump());
   Process process({{"NODE_CONFIG", file.path},
-                   {"NODE_LISTEN", ToText(listen)},
+                   {"NODE_LISTEN", ToText(listen_address)},
                    {"NODE_DISCOVERY", ToText(discovery.address())}});
-  ASSERT_TRUE(RunUntil(io, [&] { return discovery.requests.size() == 1; }));  // it listens by then
-  Client client(io, listen);
+  ASSERT_TRUE(RunUntil(io, [&] { return discovery.requests.size() == 1; }));  // the gateway listens by then
+  Client client(io, listen_address);
   client.Send(ApiCall("r1", "pay"));
   ASSERT_TRUE(RunUntil(io, [&] { return host.requests.size() == 1; }));
   process.Terminate();
-  // The work is answered only once the gateway is seen to be stopping.
+  // The host answers only after the gateway reports that it is stopping.
   bool stopping = false;
   for (int i = 0; i < 1000 && !stopping; ++i) {
-    Client probe(io, listen);
+    Client probe(io, listen_address);
     probe.Send("GET /up HTTP/1.1\r\n\r\n");
     stopping = probe.Await().result() == http::status::service_unavailable;
   }
@@ -81,53 +84,54 @@
   EXPECT_EQ(process.Wait(), 0);
 }
 
-// Guards a planned end whatever signals come with it: what was taken has its one answer, and the exit is
-// clean. Without a list a request waits for a host, and is refused in time.
-TEST(Program, EndsCleanlyWhateverSignalsCome) {
+// Guards against a graceful shutdown that further signals disturb: an accepted request must get exactly one
+// answer, and the exit code must be 0. Without an endpoint list a request waits for a host and must be
+// rejected before its deadline.
+TEST(Program, AnswersOnceAndExitsWithZeroUnderRepeatedAndMixedSignals) {
   struct Case {
     const char* name;
     std::vector<int> signals;
-    bool listed;
+    bool has_endpoints;
     unsigned status;
   };
-  for (const Case& c : {Case{"SIGTERM twice", {SIGTERM, SIGTERM}, true, 200},
-                        Case{"SIGHUP, then SIGTERM", {SIGHUP, SIGTERM}, true, 200},
-                        Case{"SIGTERM, then SIGHUP", {SIGTERM, SIGHUP, SIGTERM}, true, 200},
-                        Case{"SIGTERM before the first list", {SIGTERM}, false, 503}}) {
-    SCOPED_TRACE(c.name);
+  for (const Case& test_case : {Case{"SIGTERM twice", {SIGTERM, SIGTERM}, true, 200},
+                                Case{"SIGHUP, then SIGTERM", {SIGHUP, SIGTERM}, true, 200},
+                                Case{"SIGTERM, then SIGHUP", {SIGTERM, SIGHUP, SIGTERM}, true, 200},
+                                Case{"SIGTERM before the first list", {SIGTERM}, false, 503}}) {
+    SCOPED_TRACE(test_case.name);
     asio::io_context io;
     Peer host(io), discovery(io);
-    const tcp::endpoint listen = Loopback(FreePortNumber());
+    const tcp::endpoint listen_address = Loopback(FreePortNumber());
     auto members = std::vector<nlohmann::json>();
-    if (c.listed) members.push_back(Member("h0", host.address()));
+    if (test_case.has_endpoints) members.push_back(Member("h0", host.address()));
     const nlohmann::json config = {{"seed", "1f"},
                                    {"discovery", ToText(discovery.address())},
                                    {"known", List(1, true, members)},
                                    {"settings", TestSettings()}};
-    const File file(config.dump());
+    const TemporaryFile file(config.dump());
     Process process({{"NODE_CONFIG", file.path},
-                     {"NODE_LISTEN", ToText(listen)},
+                     {"NODE_LISTEN", ToText(listen_address)},
                      {"NODE_DISCOVERY", ToText(discovery.address())}});
-    ASSERT_TRUE(RunUntil(io, [&] { return !discovery.requests.empty(); }));  // it listens by then
-    Client client(io, listen);
-    client.Send(ApiCall("r1", "pay", c.listed ? "15000m" : "2000m"));
-    if (c.listed) {
+    ASSERT_TRUE(RunUntil(io, [&] { return !discovery.requests.empty(); }));  // the gateway listens by then
+    Client client(io, listen_address);
+    client.Send(ApiCall("r1", "pay", test_case.has_endpoints ? "15000m" : "2000m"));
+    if (test_case.has_endpoints) {
       ASSERT_TRUE(RunUntil(io, [&] { return host.requests.size() == 1; }));
-    } else {  // it was taken: this one came behind it
-      Client probe(io, listen);
+    } else {  // an answer to this later request shows that the first one was accepted
+      Client probe(io, listen_address);
       probe.Send("GET /up HTTP/1.1\r\n\r\n");
       EXPECT_EQ(probe.Await().result_int(), 503u);
     }
-    for (const int signal : c.signals) kill(process.id(), signal);
-    bool stopping = !c.listed;
+    for (const int signal : test_case.signals) kill(process.id(), signal);
+    bool stopping = !test_case.has_endpoints;
     for (int i = 0; i < 1000 && !stopping; ++i) {
-      Client probe(io, listen);
+      Client probe(io, listen_address);
       probe.Send("GET /up HTTP/1.1\r\n\r\n");
       stopping = probe.Await().result_int() == 503;
     }
     EXPECT_TRUE(stopping);
-    if (c.listed) host.requests[0].Answer(200, "done");
-    EXPECT_EQ(client.Await().result_int(), c.status);
+    if (test_case.has_endpoints) host.requests[0].Answer(200, "done");
+    EXPECT_EQ(client.Await().result_int(), test_case.status);
     EXPECT_TRUE(client.AwaitEnd());
     EXPECT_EQ(client.answers().size(), 1u);
     client.Leave();
@@ -137,256 +141,271 @@
   }
 }
 
-// Guards a restart of many at once: each is ready within 10 s with the list that it was given, though
-// discovery refuses, accepts and is silent, or turns every call away.
-TEST(Program, IsReadyInTimeWhateverDiscoveryDoes) {
-  enum class Does { kRefuses, kIsSilent, kTurnsAway };
-  for (const Does does : {Does::kRefuses, Does::kIsSilent, Does::kTurnsAway}) {
+// Guards against gateways that wait for discovery when many restart at once: with the endpoint list of their
+// configuration they must be ready within 10 s, though discovery is unreachable, never answers, or
+// rejects every call.
+TEST(Program, IsReadyWithin10sWithKnownEndpointsWhileDiscoveryFails) {
+  enum class DiscoveryFault { kUnreachable, kNeverAnswers, kRejectsCalls };
+  for (const DiscoveryFault fault :
+       {DiscoveryFault::kUnreachable, DiscoveryFault::kNeverAnswers, DiscoveryFault::kRejectsCalls}) {
     asio::io_context io;
     Peer host(io), discovery(io);
-    const std::string at = ToText(discovery.address());
-    if (does == Does::kRefuses) discovery.StopListening();
-    if (does == Does::kTurnsAway) discovery.serve = [](const Peer::Taken& taken) { taken.Answer(503, ""); };
+    const std::string discovery_address = ToText(discovery.address());
+    if (fault == DiscoveryFault::kUnreachable) discovery.StopListening();
+    if (fault == DiscoveryFault::kRejectsCalls)
+      discovery.serve = [](const Peer::Taken& request) { request.Answer(503, ""); };
     const nlohmann::json config = {{"seed", "1f"},
                                    {"known", List(1, true, {Member("h0", host.address())})},
                                    {"settings", TestSettings()}};
-    const File file(config.dump());
-    constexpr int kProcesses = 10, kReady = 9;
+    const TemporaryFile file(config.dump());
+    constexpr int kProcessCount = 10, kMinReady = 9;
     std::vector<std::unique_ptr<Process>> processes;
-    std::vector<tcp::endpoint> waiting;
-    const auto begun = std::chrono::steady_clock::now();
-    for (int i = 0; i < kProcesses; ++i) {
-      waiting.push_back(Loopback(FreePortNumber()));
-      processes.push_back(std::make_unique<Process>(std::vector<std::pair<std::string, std::string>>{
-          {"NODE_CONFIG", file.path}, {"NODE_LISTEN", ToText(waiting.back())}, {"NODE_DISCOVERY", at}}));
+    std::vector<tcp::endpoint> not_ready;
+    const auto started_at = std::chrono::steady_clock::now();
+    for (int i = 0; i < kProcessCount; ++i) {
+      not_ready.push_back(Loopback(FreePortNumber()));
+      processes.push_back(std::make_unique<Process>(
+          std::vector<std::pair<std::string, std::string>>{{"NODE_CONFIG", file.path},
+                                                           {"NODE_LISTEN", ToText(not_ready.back())},
+                                                           {"NODE_DISCOVERY", discovery_address}}));
     }
     EXPECT_TRUE(RunUntil(io, [&] {
-      std::erase_if(waiting, [&](const tcp::endpoint& listen) {
+      std::erase_if(not_ready, [&](const tcp::endpoint& listen_address) {
         error_code ec;
         tcp::socket probe(io);
-        probe.connect(listen, ec);
+        probe.connect(listen_address, ec);
         if (ec) return false;
-        Client client(io, listen);
+        Client client(io, listen_address);
         client.Send("GET /up HTTP/1.1\r\n\r\n");
         return client.Await().result() == http::status::ok;
       });
-      return waiting.size() <= kProcesses - kReady;
+      return not_ready.size() <= kProcessCount - kMinReady;
     }));
-    EXPECT_LT(std::chrono::steady_clock::now() - begun, std::chrono::seconds(10));
+    EXPECT_LT(std::chrono::steady_clock::now() - started_at, std::chrono::seconds(10));
   }
 }
 
-// Guards hosts against a process that was stopped and goes on: requests came first and the news behind them,
-// or the news came when no call was there to bring it, or the call that is made then fails. Nothing goes to
-// the host that leaves.
-TEST(Program, SendsNothingByAnOldListWhenItGoesOnAfterAStop) {
-  enum class News { kUnread, kNotAskedFor, kAtTheSecondCall };
-  for (const News where : {News::kUnread, News::kNotAskedFor, News::kAtTheSecondCall}) {
-    SCOPED_TRACE(static_cast<int>(where));
-    Service service;
-    auto version = service.Start();
-    ASSERT_TRUE(RunUntil(service.io, [&] { return service.discovery.requests.size() == 1; }));
-    const auto whole = [&](int revision, const char* phase) {
+// Guards draining hosts against requests from a gateway that SIGSTOP has stalled. At SIGCONT, the requests
+// were received before the endpoint update, or the update came while no poll was pending, or the poll that
+// follows the stall fails.
+TEST(Program, SendsNoRequestToDrainingHostAfterSigstopAndSigcont) {
+  enum class UpdateArrival { kPendingInSocket, kNotYetPolled, kAfterFailedPoll };
+  for (const UpdateArrival arrival :
+       {UpdateArrival::kPendingInSocket, UpdateArrival::kNotYetPolled, UpdateArrival::kAfterFailedPoll}) {
+    SCOPED_TRACE(static_cast<int>(arrival));
+    ProgramHarness harness;
+    auto instance = harness.Start();
+    ASSERT_TRUE(RunUntil(harness.io, [&] { return harness.discovery.requests.size() == 1; }));
+    const auto snapshot = [&](int revision, const char* phase) {
       return List(revision, true,
-                  {Member("h0", service.hosts[0]->address(), phase),
-                   Member("h1", service.hosts[1]->address())})
+                  {Member("h0", harness.hosts[0]->address(), phase),
+                   Member("h1", harness.hosts[1]->address())})
           .dump();
     };
-    constexpr int kClients = 16;
+    constexpr int kClientCount = 16;
     std::vector<std::unique_ptr<Client>> clients;
-    for (int i = 0; i < kClients; ++i) {
-      clients.push_back(std::make_unique<Client>(service.io, service.listen));
+    for (int i = 0; i < kClientCount; ++i) {
+      clients.push_back(std::make_unique<Client>(harness.io, harness.listen_address));
       clients.back()->Send("GET /up HTTP/1.1\r\n\r\n");
       ASSERT_EQ(clients.back()->Await().result_int(), 200u);
     }
-    ASSERT_EQ(kill(version.process->id(), SIGSTOP), 0);
+    ASSERT_EQ(kill(instance.process->id(), SIGSTOP), 0);
     for (auto& client : clients) client->Send(ApiCall("r" + std::to_string(&client - clients.data()), "pay"));
-    if (where == News::kUnread) {
-      const std::string news = whole(50, "draining");
+    if (arrival == UpdateArrival::kPendingInSocket) {
+      const std::string update = snapshot(50, "draining");
       error_code ec;
-      asio::write(service.discovery.requests.back().on->socket,
-                  asio::buffer("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(news.size()) +
-                               "\r\n\r\n" + news),
+      asio::write(harness.discovery.requests.back().on->socket,
+                  asio::buffer("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(update.size()) +
+                               "\r\n\r\n" + update),
                   ec);
       ASSERT_FALSE(ec);
     }
-    bool fails = where == News::kAtTheSecondCall;
-    service.discovery.serve = [&](const Peer::Taken& call) {
-      if (std::exchange(fails, false)) return call.on->Reset();
-      if (call.http.target().find("after=50") == std::string::npos) call.Answer(200, whole(50, "draining"));
+    bool fail_next_call = arrival == UpdateArrival::kAfterFailedPoll;
+    harness.discovery.serve = [&](const Peer::Taken& call) {
+      if (std::exchange(fail_next_call, false)) return call.on->Reset();
+      if (call.http.target().find("after=50") == std::string::npos)
+        call.Answer(200, snapshot(50, "draining"));
     };
-    const auto told = std::chrono::steady_clock::now();
-    ASSERT_TRUE(RunUntil(service.io, [&] {
-      return std::chrono::steady_clock::now() - told > std::chrono::milliseconds(1100);
+    const auto stall_start = std::chrono::steady_clock::now();
+    ASSERT_TRUE(RunUntil(harness.io, [&] {
+      return std::chrono::steady_clock::now() - stall_start > std::chrono::milliseconds(1100);
     }));
-    ASSERT_EQ(service.Sent(0), 0u);
-    kill(version.process->id(), SIGCONT);
+    ASSERT_EQ(harness.RequestCount(0), 0u);
+    kill(instance.process->id(), SIGCONT);
     for (auto& client : clients) EXPECT_EQ(client->Await(2).result_int(), 200u);
-    EXPECT_EQ(service.Sent(0), 0u);
-    EXPECT_EQ(service.Sent(1), static_cast<std::size_t>(kClients));
+    EXPECT_EQ(harness.RequestCount(0), 0u);
+    EXPECT_EQ(harness.RequestCount(1), static_cast<std::size_t>(kClientCount));
   }
 }
 
-// Guards a changed configuration: SIGHUP ends nothing, a broken file changes nothing and is told in one line,
-// and the file's discovery wins over the environment's, which still names the old one.
-TEST(Program, FollowsItsConfigurationOnSighup) {
+// Guards reloads by SIGHUP: the process must not end, an invalid file must change nothing and be logged in
+// one line, and discovery's address in the file must take precedence over the environment, which still has
+// the previous one.
+TEST(Program, ReloadsConfigurationOnSighup) {
   asio::io_context io;
-  Peer old(io), moved(io);
+  Peer old_discovery(io), new_discovery(io);
   nlohmann::json config = {{"seed", "1f"}, {"listen", "127.0.0.1:0"}, {"settings", TestSettings()}};
-  const File file(config.dump());
-  Process process({{"NODE_CONFIG", file.path}, {"NODE_DISCOVERY", ToText(old.address())}});
-  ASSERT_TRUE(RunUntil(io, [&] { return old.requests.size() == 1; }));
+  const TemporaryFile file(config.dump());
+  Process process({{"NODE_CONFIG", file.path}, {"NODE_DISCOVERY", ToText(old_discovery.address())}});
+  ASSERT_TRUE(RunUntil(io, [&] { return old_discovery.requests.size() == 1; }));
   std::ofstream(file.path) << "{\"discovery\":";
   process.HangUp();
   ASSERT_TRUE(RunUntil(io, [&] { return !process.Errors().empty() && process.Errors().back() == '\n'; }));
   const std::string errors = process.Errors();
   EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 1) << errors;
-  EXPECT_FALSE(old.connections[0]->ended);
-  config["discovery"] = ToText(moved.address());
+  EXPECT_FALSE(old_discovery.connections[0]->ended);
+  config["discovery"] = ToText(new_discovery.address());
   std::ofstream(file.path) << config.dump();
   process.HangUp();
-  ASSERT_TRUE(RunUntil(io, [&] { return moved.requests.size() == 1; }));
-  EXPECT_TRUE(RunUntil(io, [&] { return old.connections[0]->ended; }));
+  ASSERT_TRUE(RunUntil(io, [&] { return new_discovery.requests.size() == 1; }));
+  EXPECT_TRUE(RunUntil(io, [&] { return old_discovery.connections[0]->ended; }));
   process.HangUp();
   process.Terminate();
   process.HangUp();
   EXPECT_TRUE(RunUntil(io, [&] { return process.Ended(); }));
   EXPECT_EQ(process.Wait(), 0);
-  EXPECT_EQ(moved.requests.size(), 1u);
+  EXPECT_EQ(new_discovery.requests.size(), 1u);
 }
 
-// Guards a change of version under load: no request is lost at the door, on connections old or new; what the
-// old process has taken it answers; who was left out by hand stays out; and the old one ends by itself.
-TEST(Program, GivesWayToTheNextVersion) {
-  Service service;
-  auto old = service.Start();
-  EXPECT_EQ(service.Call(old, "PUT /maintenance/enter?target=h0"), 200u);
-  Client kept(service.io, service.listen), busy(service.io, service.listen), half(service.io, service.listen);
-  kept.Send(ApiCall("k1"));
-  EXPECT_EQ(kept.Await().body(), "k1");
-  busy.Send(ApiCall("b1", "pay", "9000m", "", "Req-Key: keep\r\n"));
-  half.Send("GET /api HTTP/1.1\r\nReq-Id: half\r\nReq-K");
-  ASSERT_TRUE(RunUntil(service.io, [&] { return service.Sent(1) == 2; }));
-  auto next = service.Start();
-  EXPECT_EQ(service.Call(next, "PUT /maintenance/enter?target=nobody"), 404u);
-  half.Send("ind: view\r\nReq-Deadline: 5000m\r\n\r\n");
-  EXPECT_EQ(half.Await().body(), "half");
+// Guards against a hot restart that loses requests under load, on existing or new connections. The
+// predecessor must answer the requests that it has accepted and then exit. Maintenance must not end.
+TEST(Program, HotRestartLosesNoRequest) {
+  ProgramHarness harness;
+  auto predecessor = harness.Start();
+  EXPECT_EQ(harness.CallAdmin(predecessor, "PUT /maintenance/enter?target=h0"), 200u);
+  Client keep_alive_client(harness.io, harness.listen_address),
+      pending_client(harness.io, harness.listen_address),
+      partial_request_client(harness.io, harness.listen_address);
+  keep_alive_client.Send(ApiCall("k1"));
+  EXPECT_EQ(keep_alive_client.Await().body(), "k1");
+  pending_client.Send(ApiCall("b1", "pay", "9000m", "", "Req-Key: keep\r\n"));
+  partial_request_client.Send("GET /api HTTP/1.1\r\nReq-Id: half\r\nReq-K");
+  ASSERT_TRUE(RunUntil(harness.io, [&] { return harness.RequestCount(1) == 2; }));
+  auto successor = harness.Start();
+  EXPECT_EQ(harness.CallAdmin(successor, "PUT /maintenance/enter?target=nobody"), 404u);
+  partial_request_client.Send("ind: view\r\nReq-Deadline: 5000m\r\n\r\n");
+  EXPECT_EQ(partial_request_client.Await().body(), "half");
   for (std::size_t i = 2; i < 40; ++i) {
-    if (i == 10) old.process->Terminate();
-    kept.Send(ApiCall("k" + std::to_string(i)));
-    EXPECT_EQ(kept.Await(i).body(), "k" + std::to_string(i));
-    Client fresh(service.io, service.listen);
-    fresh.Send(ApiCall("f" + std::to_string(i)));
-    EXPECT_EQ(fresh.Await().body(), "f" + std::to_string(i));
+    if (i == 10) predecessor.process->Terminate();
+    keep_alive_client.Send(ApiCall("k" + std::to_string(i)));
+    EXPECT_EQ(keep_alive_client.Await(i).body(), "k" + std::to_string(i));
+    Client new_client(harness.io, harness.listen_address);
+    new_client.Send(ApiCall("f" + std::to_string(i)));
+    EXPECT_EQ(new_client.Await().body(), "f" + std::to_string(i));
   }
-  EXPECT_FALSE(old.process->Ended()) << "it still owes an answer";
-  for (const auto& taken : service.hosts[1]->requests) {
-    if (taken.http["Req-Id"] == "b1") taken.Answer(200, "b1");
+  EXPECT_FALSE(predecessor.process->Ended()) << "a request is still unanswered";
+  for (const auto& request : harness.hosts[1]->requests) {
+    if (request.http["Req-Id"] == "b1") request.Answer(200, "b1");
   }
-  EXPECT_EQ(busy.Await().body(), "b1");
-  ASSERT_TRUE(RunUntil(service.io, [&] { return old.process->Ended(); }));
-  EXPECT_EQ(old.process->Wait(), 0);
-  busy.Send(ApiCall("b2"));  // its connection went over too
-  EXPECT_EQ(busy.Await(2).body(), "b2");
-  EXPECT_EQ(service.Sent(0), 0u);
-  EXPECT_EQ(service.Figures(next)["cluster_unhealthy"], 1);
-  EXPECT_EQ(service.Call(next, "PUT /maintenance/exit?target=h0"), 200u);
-  EXPECT_EQ(service.Figures(next)["cluster_unhealthy"], 0);
-  const auto third = service.Start();  // and that one gives way in its turn
-  kept.Send(ApiCall("last"));
-  EXPECT_EQ(kept.Await(40).body(), "last");
-  EXPECT_EQ(service.Figures(third)["transactions"]["view"]["answered"], 1);
+  EXPECT_EQ(pending_client.Await().body(), "b1");
+  ASSERT_TRUE(RunUntil(harness.io, [&] { return predecessor.process->Ended(); }));
+  EXPECT_EQ(predecessor.process->Wait(), 0);
+  pending_client.Send(ApiCall("b2"));  // on a connection that was passed to the successor too
+  EXPECT_EQ(pending_client.Await(2).body(), "b2");
+  EXPECT_EQ(harness.RequestCount(0), 0u);
+  EXPECT_EQ(harness.Metrics(successor)["cluster_unhealthy"], 1);
+  EXPECT_EQ(harness.CallAdmin(successor, "PUT /maintenance/exit?target=h0"), 200u);
+  EXPECT_EQ(harness.Metrics(successor)["cluster_unhealthy"], 0);
+  const auto second_successor = harness.Start();  // a hot restart of the successor
+  keep_alive_client.Send(ApiCall("last"));
+  EXPECT_EQ(keep_alive_client.Await(40).body(), "last");
+  EXPECT_EQ(harness.Metrics(second_successor)["transactions"]["view"]["answered"], 1);
 }
 
-// Guards a planned end that comes while the next version asks to follow: both lie before the old process when
-// it goes on. What it had taken it answers, what comes on its connections and on new ones is served by one of
-// the two.
-TEST(Program, EndsCleanlyThoughTheNextVersionAsksAtThatMoment) {
-  Service service;
-  auto old = service.Start();
-  Client kept(service.io, service.listen), busy(service.io, service.listen);
-  kept.Send(ApiCall("k1"));
-  EXPECT_EQ(kept.Await().body(), "k1");
-  busy.Send(ApiCall("b1", "pay", "9000m", "", "Req-Key: keep\r\n"));
-  ASSERT_TRUE(RunUntil(service.io, [&] { return service.Sent(0) + service.Sent(1) == 2; }));
-  ASSERT_EQ(kill(old.process->id(), SIGSTOP), 0);
-  old.process->Terminate();
-  const std::string asks = service.folder + "/meadowyard-" + service.listen.address().to_string() + "-" +
-                           std::to_string(service.listen.port());
-  ASSERT_EQ(access(asks.c_str(), F_OK), 0) << asks;
-  // The next one is given its state as soon as the old one goes on, and waits for that until then.
-  asio::steady_timer goes_on(service.io, std::chrono::milliseconds(300));
-  goes_on.async_wait([&](error_code) { kill(old.process->id(), SIGCONT); });
-  auto next = service.Start();
-  for (const auto& host : service.hosts) {
-    for (const auto& taken : host->requests) {
-      if (taken.http["Req-Key"] == "keep") taken.Answer(200, "b1");
+// Guards a graceful shutdown that coincides with a hot restart: after a stall the process finds both SIGTERM
+// and the successor's connection. It must answer the requests that it has accepted; requests on its existing
+// connections and on new ones must be served by one of the two processes.
+TEST(Program, ExitsWithZeroWhenSuccessorConnectsAtTheTimeOfSigterm) {
+  ProgramHarness harness;
+  auto predecessor = harness.Start();
+  Client keep_alive_client(harness.io, harness.listen_address),
+      pending_client(harness.io, harness.listen_address);
+  keep_alive_client.Send(ApiCall("k1"));
+  EXPECT_EQ(keep_alive_client.Await().body(), "k1");
+  pending_client.Send(ApiCall("b1", "pay", "9000m", "", "Req-Key: keep\r\n"));
+  ASSERT_TRUE(RunUntil(harness.io, [&] { return harness.RequestCount(0) + harness.RequestCount(1) == 2; }));
+  ASSERT_EQ(kill(predecessor.process->id(), SIGSTOP), 0);
+  predecessor.process->Terminate();
+  const std::string handover_path = harness.directory + "/meadowyard-" +
+                                    harness.listen_address.address().to_string() + "-" +
+                                    std::to_string(harness.listen_address.port());
+  ASSERT_EQ(access(handover_path.c_str(), F_OK), 0) << handover_path;
+  // The successor waits for the predecessor's state, which is sent once SIGCONT resumes the predecessor.
+  asio::steady_timer resume_timer(harness.io, std::chrono::milliseconds(300));
+  resume_timer.async_wait([&](error_code) { kill(predecessor.process->id(), SIGCONT); });
+  auto successor = harness.Start();
+  for (const auto& host : harness.hosts) {
+    for (const auto& request : host->requests) {
+      if (request.http["Req-Key"] == "keep") request.Answer(200, "b1");
     }
   }
-  EXPECT_EQ(busy.Await().body(), "b1");
+  EXPECT_EQ(pending_client.Await().body(), "b1");
   for (int i = 0; i < 20; ++i) {
-    Client fresh(service.io, service.listen);
-    fresh.Send(ApiCall("f" + std::to_string(i)));
-    EXPECT_EQ(fresh.Await().body(), "f" + std::to_string(i));
+    Client new_client(harness.io, harness.listen_address);
+    new_client.Send(ApiCall("f" + std::to_string(i)));
+    EXPECT_EQ(new_client.Await().body(), "f" + std::to_string(i));
   }
-  kept.Send(ApiCall("k2"));
-  EXPECT_TRUE(RunUntil(service.io, [&] { return kept.answers().size() == 2 || kept.ended(); }));
-  if (!kept.ended()) {
-    EXPECT_EQ(kept.Await(2).body(), "k2");
+  keep_alive_client.Send(ApiCall("k2"));
+  EXPECT_TRUE(RunUntil(harness.io,
+                       [&] { return keep_alive_client.answers().size() == 2 || keep_alive_client.ended(); }));
+  if (!keep_alive_client.ended()) {
+    EXPECT_EQ(keep_alive_client.Await(2).body(), "k2");
   }
-  ASSERT_TRUE(RunUntil(service.io, [&] { return old.process->Ended(); }));
-  EXPECT_EQ(old.process->Wait(), 0) << old.process->Errors();
-  Client last(service.io, service.listen);
-  last.Send(ApiCall("last"));
-  EXPECT_EQ(last.Await().body(), "last");
+  ASSERT_TRUE(RunUntil(harness.io, [&] { return predecessor.process->Ended(); }));
+  EXPECT_EQ(predecessor.process->Wait(), 0) << predecessor.process->Errors();
+  Client last_client(harness.io, harness.listen_address);
+  last_client.Send(ApiCall("last"));
+  EXPECT_EQ(last_client.Await().body(), "last");
 }
 
-// Guards operators during a change of version: what one process is told, both do.
-TEST(Program, TellsTheOtherVersionWhatOperatorsWant) {
-  Service service;
-  auto old = service.Start(), next = service.Start();
-  EXPECT_EQ(service.Call(old, "PUT /maintenance/enter?target=h0"), 200u);
-  EXPECT_TRUE(RunUntil(service.io, [&] { return service.Figures(next)["cluster_unhealthy"] == 1; }));
-  EXPECT_EQ(service.Call(next, "PUT /maintenance/exit?target=h0"), 200u);
-  EXPECT_TRUE(RunUntil(service.io, [&] { return service.Figures(old)["cluster_unhealthy"] == 0; }));
+// Guards operators against a maintenance change during a hot restart that reaches only one of the processes.
+TEST(Program, ReplicatesMaintenanceBetweenPredecessorAndSuccessor) {
+  ProgramHarness harness;
+  auto predecessor = harness.Start(), successor = harness.Start();
+  EXPECT_EQ(harness.CallAdmin(predecessor, "PUT /maintenance/enter?target=h0"), 200u);
+  EXPECT_TRUE(RunUntil(harness.io, [&] { return harness.Metrics(successor)["cluster_unhealthy"] == 1; }));
+  EXPECT_EQ(harness.CallAdmin(successor, "PUT /maintenance/exit?target=h0"), 200u);
+  EXPECT_TRUE(RunUntil(harness.io, [&] { return harness.Metrics(predecessor)["cluster_unhealthy"] == 0; }));
 }
 
-// Guards against a new version that dies: the old one serves on.
-TEST(Program, ServesAgainWhenTheNextVersionDies) {
-  Service service;
-  auto old = service.Start();
+// Guards against an outage when the successor of a hot restart dies while the predecessor still runs.
+TEST(Program, PredecessorServesAgainAfterSuccessorDies) {
+  ProgramHarness harness;
+  auto predecessor = harness.Start();
   {
-    auto next = service.Start();
-    ASSERT_TRUE(RunUntil(service.io, [&] {
-      return old.process->Errors().find("hot_restart_completed") != std::string::npos;
+    auto successor = harness.Start();
+    ASSERT_TRUE(RunUntil(harness.io, [&] {
+      return predecessor.process->Errors().find("hot_restart_completed") != std::string::npos;
     }));
   }
-  ASSERT_TRUE(RunUntil(
-      service.io, [&] { return old.process->Errors().find("hot_restart_abandoned") != std::string::npos; }));
-  Client client(service.io, service.listen);
+  ASSERT_TRUE(RunUntil(harness.io, [&] {
+    return predecessor.process->Errors().find("hot_restart_abandoned") != std::string::npos;
+  }));
+  Client client(harness.io, harness.listen_address);
   client.Send(ApiCall("r1"));
   EXPECT_EQ(client.Await().body(), "r1");
-  const auto next = service.Start();
+  const auto successor = harness.Start();
   client.Send(ApiCall("r2"));
   EXPECT_EQ(client.Await(2).body(), "r2");
 }
 
-// Guards a change of version while a bad file lies about: the new process goes on with the one in force.
-TEST(Program, RetunesAndKeepsASpoiltFileFromTheNextVersion) {
-  Service service;
-  auto old = service.Start();
-  nlohmann::json changed = service.config;
+// Guards against a hot restart that fails, or falls back to old settings, because the configuration file is
+// invalid: the successor must use the configuration that its predecessor loaded last.
+TEST(Program, SuccessorUsesConfigurationInForceWhenFileIsInvalid) {
+  ProgramHarness harness;
+  auto predecessor = harness.Start();
+  nlohmann::json changed = harness.config;
   changed["settings"]["categories"].push_back(changed["settings"]["categories"][2]);
   changed["settings"]["categories"][3]["name"] = "book";
-  service.Write(changed.dump());
-  old.process->HangUp();
-  EXPECT_TRUE(RunUntil(service.io, [&] { return service.Figures(old)["conf_loaded"] == 1; }));
-  service.Write(changed.dump().substr(0, 200));
-  old.process->HangUp();
-  EXPECT_TRUE(RunUntil(service.io, [&] { return service.Figures(old)["conf_invalid"] == 1; }));
-  EXPECT_EQ(service.Figures(old)["conf_loaded"], 1);
-  const auto next = service.Start();
-  Client client(service.io, service.listen);
+  harness.WriteConfig(changed.dump());
+  predecessor.process->HangUp();
+  EXPECT_TRUE(RunUntil(harness.io, [&] { return harness.Metrics(predecessor)["conf_loaded"] == 1; }));
+  harness.WriteConfig(changed.dump().substr(0, 200));
+  predecessor.process->HangUp();
+  EXPECT_TRUE(RunUntil(harness.io, [&] { return harness.Metrics(predecessor)["conf_invalid"] == 1; }));
+  EXPECT_EQ(harness.Metrics(predecessor)["conf_loaded"], 1);
+  const auto successor = harness.Start();
+  Client client(harness.io, harness.listen_address);
   client.Send(ApiCall("r1", "book"));
   EXPECT_EQ(client.Await().body(), "r1");
 }
--- a/tests/service.hpp
+++ b/tests/service.hpp
@@ -1,4 +1,4 @@
-// The program with its hosts, discovery and operators, for tests.
+// Runs the program with scripted hosts and a scripted discovery, for tests.
 #ifndef MEADOWYARD_TESTS_SERVICE_HPP_
 #define MEADOWYARD_TESTS_SERVICE_HPP_
 
@@ -15,78 +15,82 @@
 
 namespace meadowyard::testing {
 
-// The real program with operators' calls, in a folder of its own, among scripted peers; and the next version.
-struct Service {
-  Service() {
+// Two scripted hosts, a scripted discovery and a directory for the program's files. Starts the program with
+// an admin server, any number of times: further instances are successors of a hot restart.
+struct ProgramHarness {
+  ProgramHarness() {
     char name[] = "/tmp/meadowyard-XXXXXX";
-    folder = mkdtemp(name);
+    directory = mkdtemp(name);
     for (int i = 0; i < 2; ++i) {
       hosts.push_back(std::make_unique<Peer>(io));
-      hosts.back()->serve = [](const Peer::Taken& taken) {
-        if (taken.http["Req-Key"] != "keep") taken.Answer(200, std::string(taken.http["Req-Id"]));
+      hosts.back()->serve = [](const Peer::Taken& request) {
+        if (request.http["Req-Key"] != "keep") request.Answer(200, std::string(request.http["Req-Id"]));
       };
     }
-    listen = FreePort();
+    listen_address = FreePort();
     config = {
         {"seed", "1f"},
         {"discovery", ToText(discovery.address())},
         {"known", List(1, true, {Member("h0", hosts[0]->address()), Member("h1", hosts[1]->address())})},
         {"settings", TestSettings()}};
-    Write(config.dump());
+    WriteConfig(config.dump());
   }
-  ~Service() {
-    std::remove((folder + "/config.json").c_str());
-    std::remove((folder + "/meadowyard-" + listen.address().to_string() + "-" + std::to_string(listen.port()))
+  ~ProgramHarness() {
+    std::remove((directory + "/config.json").c_str());
+    std::remove((directory + "/meadowyard-" + listen_address.address().to_string() + "-" +
+                 std::to_string(listen_address.port()))
                     .c_str());
-    rmdir(folder.c_str());
+    rmdir(directory.c_str());
   }
   tcp::endpoint FreePort() { return Loopback(FreePortNumber()); }
-  void Write(const std::string& text) const { std::ofstream(folder + "/config.json") << text; }
+  void WriteConfig(const std::string& text) const { std::ofstream(directory + "/config.json") << text; }
 
-  struct Version {
+  struct ProgramInstance {
     std::unique_ptr<Process> process;
-    tcp::endpoint admin;
+    tcp::endpoint admin_address;
   };
-  // `prepare` runs in the new process before the program does.
-  Version Start(const std::function<void()>& prepare = nullptr, const std::string& tmpdir = "") {
-    Version version;
-    version.admin = FreePort();
-    version.process = std::make_unique<Process>(
-        std::vector<std::pair<std::string, std::string>>{{"NODE_CONFIG", folder + "/config.json"},
-                                                         {"NODE_LISTEN", ToText(listen)},
-                                                         {"NODE_ADMIN", ToText(version.admin)},
+  // Starts the program and waits until its admin server answers. `before_exec` runs in the child process,
+  // immediately before the program is executed.
+  ProgramInstance Start(const std::function<void()>& before_exec = nullptr, const std::string& tmpdir = "") {
+    ProgramInstance instance;
+    instance.admin_address = FreePort();
+    instance.process = std::make_unique<Process>(
+        std::vector<std::pair<std::string, std::string>>{{"NODE_CONFIG", directory + "/config.json"},
+                                                         {"NODE_LISTEN", ToText(listen_address)},
+                                                         {"NODE_ADMIN", ToText(instance.admin_address)},
                                                          {"NODE_DISCOVERY", ToText(discovery.address())},
-                                                         {"TMPDIR", tmpdir.empty() ? folder : tmpdir}},
-        prepare);
-    EXPECT_TRUE(RunUntil(io, [&] { return Call(version, "GET /status") == 200; }));
-    return version;
+                                                         {"TMPDIR", tmpdir.empty() ? directory : tmpdir}},
+        before_exec);
+    EXPECT_TRUE(RunUntil(io, [&] { return CallAdmin(instance, "GET /status") == 200; }));
+    return instance;
   }
-  // The status of an operator's call; 0 if nobody answers.
-  unsigned Call(const Version& version, const std::string& call, std::string* body = nullptr) {
+  // The HTTP status of an operator's call; 0 if no connection can be opened.
+  unsigned CallAdmin(const ProgramInstance& instance, const std::string& call, std::string* body = nullptr) {
     error_code ec;
     tcp::socket probe(io);
-    probe.connect(version.admin, ec);
+    probe.connect(instance.admin_address, ec);
     if (ec) {
       usleep(2000);
       return 0;
     }
-    Client client(io, version.admin);
+    Client client(io, instance.admin_address);
     client.Send(call + " HTTP/1.1\r\nHost: a\r\n\r\n");
     if (body != nullptr) *body = client.Await().body();
     return client.Await().result_int();
   }
-  nlohmann::json Figures(const Version& version) {
+  nlohmann::json Metrics(const ProgramInstance& instance) {
     std::string body;
-    EXPECT_EQ(Call(version, "GET /status/metrics", &body), 200u);
+    EXPECT_EQ(CallAdmin(instance, "GET /status/metrics", &body), 200u);
     return nlohmann::json::parse(body);
   }
-  std::size_t Sent(std::size_t host) const { return hosts[host]->requests.size(); }
+  // How many requests the host has received.
+  std::size_t RequestCount(std::size_t host) const { return hosts[host]->requests.size(); }
 
   asio::io_context io;
   Peer discovery{io};
   std::vector<std::unique_ptr<Peer>> hosts;
-  std::string folder;
-  tcp::endpoint listen;
+  std::string directory;
+  tcp::endpoint listen_address;
   nlohmann::json config;
 };
 
