--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -19,32 +19,37 @@
 using nlohmann::json;
 using tcp = asio::ip::tcp;
 
-constexpr Millis kCallGap = 100;     // least time from call to call; the watch lapses after 200
-constexpr Millis kTimerEarly = 0.5;  // timers know no fractions of a microsecond
-constexpr Millis kTimerLate = 100;   // beyond it the loop stood still, or was far behind
-constexpr Millis kToRead = 100;      // what lies in the socket then
-constexpr std::size_t kMostList = 8 << 20;
+// Least time between the starts of two polls. The discovery service drops a watch after 200 ms without a
+// poll.
+constexpr Millis kMinPollInterval = 100;
+// Timers are rounded to full microseconds and may fire slightly before the deadline.
+constexpr Millis kTimerRounding = 0.5;
+// A timer that fires later than this shows that the event loop was stopped or overloaded.
+constexpr Millis kMaxTimerDelay = 100;
+// Extra time after such a stall to read an answer that is already in the socket's buffer.
+constexpr Millis kReadAfterStallTimeout = 100;
+constexpr std::size_t kMaxListBytes = 8 << 20;
 
-EndpointState ToState(const std::string& phase) {
+EndpointState ParseState(const std::string& phase) {
   if (phase == "up") return EndpointState::kUp;
   if (phase == "draining") return EndpointState::kDraining;
   if (phase == "removed") return EndpointState::kRemoved;
   throw std::invalid_argument("phase");
 }
 
-EndpointRecord ToHost(const json& entry) {
+EndpointRecord ParseHost(const json& entry) {
   EndpointRecord host;
-  Endpoint& server = host.endpoint;
-  server.id = entry.at("id").get<std::string>();
-  if (server.id.empty()) throw std::invalid_argument("id");
-  server.state = ToState(entry.at("phase").get<std::string>());
-  server.zone = entry.value("locality", "");
-  server.kind = entry.value("flavor", "");
-  if (entry.contains("cell")) server.cell = entry["cell"].dump();
-  server.weight = entry.value("size", 1.0);
-  server.started_at = entry.value("up_since_ms", 0.0);
+  Endpoint& host_endpoint = host.endpoint;
+  host_endpoint.id = entry.at("id").get<std::string>();
+  if (host_endpoint.id.empty()) throw std::invalid_argument("id");
+  host_endpoint.state = ParseState(entry.at("phase").get<std::string>());
+  host_endpoint.zone = entry.value("locality", "");
+  host_endpoint.kind = entry.value("flavor", "");
+  if (entry.contains("cell")) host_endpoint.cell = entry["cell"].dump();
+  host_endpoint.weight = entry.value("size", 1.0);
+  host_endpoint.started_at = entry.value("up_since_ms", 0.0);
   const auto address = ParseAddress(entry.value("host_port", ""));
-  if (!address && server.state != EndpointState::kRemoved) throw std::invalid_argument("host_port");
+  if (!address && host_endpoint.state != EndpointState::kRemoved) throw std::invalid_argument("host_port");
   if (address) host.address = *address;
   return host;
 }
@@ -57,9 +62,9 @@
   error_code ec;
   const auto address = asio::ip::make_address(text.substr(0, colon), ec);
   std::uint16_t port = 0;
-  const char* const last = text.data() + text.size();
-  const auto [end, error] = std::from_chars(text.data() + colon + 1, last, port);
-  if (ec || error != std::errc() || end != last) return std::nullopt;
+  const char* const text_end = text.data() + text.size();
+  const auto [end, error] = std::from_chars(text.data() + colon + 1, text_end, port);
+  if (ec || error != std::errc() || end != text_end) return std::nullopt;
   return tcp::endpoint(address, port);
 }
 
@@ -70,19 +75,19 @@
 std::string SerializeEndpointList(const EndpointList& list) {
   json members = json::array();
   for (const EndpointRecord& host : list.endpoints) {
-    const Endpoint& s = host.endpoint;
-    members.push_back({{"id", s.id},
+    const Endpoint& listed_endpoint = host.endpoint;
+    members.push_back({{"id", listed_endpoint.id},
                        {"host_port", FormatAddress(host.address)},
-                       {"locality", s.zone},
-                       {"flavor", s.kind},
-                       {"phase", s.state == EndpointState::kUp         ? "up"
-                                 : s.state == EndpointState::kDraining ? "draining"
-                                                                       : "removed"},
-                       {"size", s.weight},
-                       {"up_since_ms", s.started_at}});
-    // As it came: a number, or any other JSON.
-    members.back()["cell"] = json::parse(s.cell, nullptr, false);
-    if (s.cell.empty()) members.back().erase("cell");
+                       {"locality", listed_endpoint.zone},
+                       {"flavor", listed_endpoint.kind},
+                       {"phase", listed_endpoint.state == EndpointState::kUp         ? "up"
+                                 : listed_endpoint.state == EndpointState::kDraining ? "draining"
+                                                                                     : "removed"},
+                       {"size", listed_endpoint.weight},
+                       {"up_since_ms", listed_endpoint.started_at}});
+    // The cell is kept as it was received: a number or any other JSON value.
+    members.back()["cell"] = json::parse(listed_endpoint.cell, nullptr, false);
+    if (listed_endpoint.cell.empty()) members.back().erase("cell");
   }
   return json{{"revision", list.revision}, {"complete", list.is_snapshot}, {"members", members}}.dump(
       -1, ' ', false, json::error_handler_t::replace);
@@ -94,7 +99,7 @@
     EndpointList list;
     list.revision = parsed.at("revision").get<std::int64_t>();
     list.is_snapshot = parsed.at("complete").get<bool>();
-    for (const json& entry : parsed.at("members")) list.endpoints.push_back(ToHost(entry));
+    for (const json& entry : parsed.at("members")) list.endpoints.push_back(ParseHost(entry));
     return list;
   } catch (const json::exception&) {
     return std::nullopt;
@@ -103,157 +108,166 @@
   }
 }
 
-// One call and all that its handlers use, so that those of a call given up touch nothing of the next.
-struct DiscoveryClient::Call {
-  Call(asio::io_context& io, std::optional<std::int64_t> revision) : timer(io), after(revision) {
-    parser.body_limit(kMostList);
+// One poll with all state that its completion handlers use. Late handlers of an aborted poll can't modify
+// the state of the next one.
+struct DiscoveryClient::Poll {
+  Poll(asio::io_context& io, std::optional<std::int64_t> revision) : timer(io), after_revision(revision) {
+    parser.body_limit(kMaxListBytes);
   }
-  const Millis begun = core::Now();
-  Millis due = 0;
-  bool spared = false;  // its time was over, but the loop had stood still
+  const Millis start_time = core::Now();
+  Millis deadline = 0;
+  bool deadline_extended = false;  // at most once, when the event loop was stalled at the deadline
   asio::steady_timer timer;
-  const std::optional<std::int64_t> after;  // changes are asked for from here; nothing: the whole list
+  // Requests the changes since this revision; without one, requests a snapshot.
+  const std::optional<std::int64_t> after_revision;
   http::request<http::empty_body> request;
   http::response_parser<http::string_body> parser;
   boost::beast::flat_buffer buffer;
 };
 
 DiscoveryClient::DiscoveryClient(asio::io_context& io, tcp::endpoint address,
-                                 std::optional<std::int64_t> revision, Callbacks handlers)
-    : io_(io), address_(address), revision_(revision), callbacks_(std::move(handlers)), pause_(io) {
-  Renew();
+                                 std::optional<std::int64_t> revision, Callbacks callbacks)
+    : io_(io),
+      address_(address),
+      revision_(revision),
+      callbacks_(std::move(callbacks)),
+      next_poll_timer_(io) {
+  ReopenSocket();
 }
 
 void DiscoveryClient::Start() {
-  if (std::exchange(watching_, true)) return;  // asking again would be one more call on a shared service
-  Ask();
+  if (std::exchange(watching_, true)) return;  // a second poll would add load to a shared service
+  StartPoll();
 }
 
 void DiscoveryClient::SetAddress(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
   revision_.reset();
-  ++moves_;
-  Drop();
+  ++generation_;
+  AbortPoll();
   watching_ = true;
-  Ask();
+  StartPoll();
 }
 
 bool DiscoveryClient::PollAgainSince(Millis since) {
   if (!watching_) return false;
-  if (!connected_ || connected_at_ > since) return true;  // the call has yet to be written, or just was
-  ++moves_;
-  Drop();
-  Ask();
+  // The pending poll is not written yet, or it uses a connection established after `since`.
+  if (!connected_ || connected_at_ > since) return true;
+  ++generation_;
+  AbortPoll();
+  StartPoll();
   return true;
 }
 
 void DiscoveryClient::Stop() {
-  ++moves_;
-  Drop();
+  ++generation_;
+  AbortPoll();
   watching_ = false;
 }
 
-// Fails the call unless it has come on by then.
-void DiscoveryClient::Expect(const std::shared_ptr<Call>& call, Millis within) {
-  call->due = core::Now() + within;
-  call->timer.expires_after(core::ToDuration(within));
-  call->timer.async_wait([this, call](error_code ec) {
-    // One that was due already when the call came on is told all the same.
-    if (ec || core::Now() < call->due - kTimerEarly) return;
-    // One that comes late tells of this process, not of discovery: the answer may lie in the socket, unread
-    // as the timer was.
-    if (core::Now() - call->due > kTimerLate && !std::exchange(call->spared, true))
-      return Expect(call, kToRead);
-    Fail(call);
+// Fails the poll at the deadline unless it has completed or a later deadline has been set.
+void DiscoveryClient::SetDeadline(const std::shared_ptr<Poll>& poll, Millis timeout) {
+  poll->deadline = core::Now() + timeout;
+  poll->timer.expires_after(core::ToDuration(timeout));
+  poll->timer.async_wait([this, poll](error_code ec) {
+    // The handler was already queued when the deadline was extended: cancelling doesn't remove it.
+    if (ec || core::Now() < poll->deadline - kTimerRounding) return;
+    // A timer that fires late shows that this process was stalled, not that discovery was slow: the answer
+    // may be in the socket's buffer, not read yet.
+    if (core::Now() - poll->deadline > kMaxTimerDelay && !std::exchange(poll->deadline_extended, true))
+      return SetDeadline(poll, kReadAfterStallTimeout);
+    Fail(poll);
   });
 }
 
-void DiscoveryClient::Ask() {
-  const auto call = call_ = std::make_shared<Call>(io_, revision_);
+void DiscoveryClient::StartPoll() {
+  const auto poll = poll_ = std::make_shared<Poll>(io_, revision_);
   if (connected_) {
-    Expect(call, kLongPollWait + kLongPollGrace);
-    return Connected(call, kLongPollWait);
+    SetDeadline(poll, kLongPollWait + kLongPollGrace);
+    return SendRequest(poll, kLongPollWait);
   }
-  Expect(call, kConnectTimeout);
-  socket_->async_connect(address_, [this, call, socket = socket_](error_code ec) {
-    if (call != call_) return;
-    if (ec) return Fail(call);
+  SetDeadline(poll, kConnectTimeout);
+  socket_->async_connect(address_, [this, poll, socket = socket_](error_code ec) {
+    if (poll != poll_) return;
+    if (ec) return Fail(poll);
     connected_ = true;
     connected_at_ = core::Now();
     error_code ignored;
     socket->set_option(tcp::no_delay(true), ignored);
-    Expect(call, kFirstPollTimeout);
-    Connected(call, kFirstPollWait);
+    SetDeadline(poll, kFirstPollTimeout);
+    SendRequest(poll, kFirstPollWait);
   });
 }
 
-void DiscoveryClient::Connected(const std::shared_ptr<Call>& call, Millis wait) {
-  call->request.method(http::verb::get);
+void DiscoveryClient::SendRequest(const std::shared_ptr<Poll>& poll, Millis wait) {
+  poll->request.method(http::verb::get);
   std::string target = "/discovery/hosts";
-  if (call->after) {
-    target += "?after=" + std::to_string(*call->after) + "&wait_ms=" + std::to_string(static_cast<int>(wait));
+  if (poll->after_revision) {
+    target += "?after=" + std::to_string(*poll->after_revision) +
+              "&wait_ms=" + std::to_string(static_cast<int>(wait));
   }
-  call->request.target(target);
-  call->request.set(http::field::host, address_.address().to_string());
-  http::async_write(*socket_, call->request, [this, call, socket = socket_](error_code ec, std::size_t) {
-    if (call != call_) return;
-    if (ec) return Fail(call);
-    http::async_read(*socket, call->buffer, call->parser,
-                     [this, call, socket](error_code read_ec, std::size_t) {
-                       if (call != call_) return;
-                       if (read_ec) return Fail(call);
-                       Answered(call);
+  poll->request.target(target);
+  poll->request.set(http::field::host, address_.address().to_string());
+  http::async_write(*socket_, poll->request, [this, poll, socket = socket_](error_code ec, std::size_t) {
+    if (poll != poll_) return;
+    if (ec) return Fail(poll);
+    http::async_read(*socket, poll->buffer, poll->parser,
+                     [this, poll, socket](error_code read_ec, std::size_t) {
+                       if (poll != poll_) return;
+                       if (read_ec) return Fail(poll);
+                       HandleAnswer(poll);
                      });
   });
 }
 
-void DiscoveryClient::Answered(const std::shared_ptr<Call>& call) {
-  const auto& answer = call->parser.get();
+void DiscoveryClient::HandleAnswer(const std::shared_ptr<Poll>& poll) {
+  const auto& answer = poll->parser.get();
   auto list = answer.result() == http::status::ok ? ParseEndpointList(answer.body()) : std::nullopt;
-  if (!list) return Fail(call);
-  // Changes to a list that is not the one held would leave hosts that have gone.
-  if (!list->is_snapshot && (!call->after || list->revision < *call->after)) {
+  if (!list) return Fail(poll);
+  // Changes that don't continue the held revision can't be applied: hosts removed in between would stay.
+  if (!list->is_snapshot && (!poll->after_revision || list->revision < *poll->after_revision)) {
     revision_.reset();
-    return Fail(call);
+    return Fail(poll);
   }
-  call->timer.cancel();
-  call_.reset();
-  if (!answer.keep_alive()) Renew();
-  // A discovery that answers at once, as an agent with pushed lists does, must not be asked in a tight loop.
-  pause_.expires_after(core::ToDuration(kCallGap - (core::Now() - call->begun)));
-  pause_.async_wait([this, moves = moves_](error_code ec) {
-    if (!ec && moves == moves_) Ask();
+  poll->timer.cancel();
+  poll_.reset();
+  if (!answer.keep_alive()) ReopenSocket();
+  // A discovery that answers at once, such as an agent that receives pushed lists, must not be polled in a
+  // tight loop.
+  next_poll_timer_.expires_after(core::ToDuration(kMinPollInterval - (core::Now() - poll->start_time)));
+  next_poll_timer_.async_wait([this, generation = generation_](error_code ec) {
+    if (!ec && generation == generation_) StartPoll();
   });
-  // Last: news that could not be taken in is asked for again.
+  // The revision is stored after the callback: if the callback throws, the update is requested again.
   const std::int64_t revision = list->revision;
   callbacks_.on_update(std::move(*list));
   revision_ = revision;
 }
 
-void DiscoveryClient::Fail(const std::shared_ptr<Call>& call) {
-  if (call != call_) return;
-  Drop();
+void DiscoveryClient::Fail(const std::shared_ptr<Poll>& poll) {
+  if (poll != poll_) return;
+  AbortPoll();
   watching_ = false;
   callbacks_.on_failure();
 }
 
-// Ends the call and the connection; whatever of them is still on its way finds that it is not the current
-// one.
-void DiscoveryClient::Drop() {
-  if (call_) call_->timer.cancel();
-  call_.reset();
-  Renew();
+// Ends the poll and closes its connection. Pending handlers find that their poll is no longer the current one
+// and return.
+void DiscoveryClient::AbortPoll() {
+  if (poll_) poll_->timer.cancel();
+  poll_.reset();
+  ReopenSocket();
 }
 
-// The next connection's descriptor is taken as the last one's is given back: whoever fills up the others,
-// there is one to learn by that hosts leave.
-void DiscoveryClient::Renew() {
+// Opens the next socket right after closing the last one, so that its file descriptor is reserved. Even if
+// other connections use up all descriptors, the gateway can reconnect and learn that hosts are leaving.
+void DiscoveryClient::ReopenSocket() {
   error_code ignored;
   if (socket_) socket_->close(ignored);
   connected_ = false;
   socket_ = std::make_shared<tcp::socket>(io_);
-  socket_->open(address_.protocol(), ignored);  // the dial tries again, and tells
+  socket_->open(address_.protocol(), ignored);  // on failure async_connect opens it and reports the error
 }
 
 }  // namespace meadowyard::discovery
--- a/src/discovery/discovery.hpp
+++ b/src/discovery/discovery.hpp
@@ -1,4 +1,6 @@
-// The list of hosts: its form, and the watch on discovery that keeps it up to date.
+/// @file
+/// The list of hosts: its JSON format, and the client that keeps it up to date by long polling the discovery
+/// service.
 #ifndef MEADOWYARD_DISCOVERY_HPP_
 #define MEADOWYARD_DISCOVERY_HPP_
 
@@ -17,73 +19,79 @@
 
 namespace meadowyard::discovery {
 
+/// A host of the list with its address.
 struct EndpointRecord {
   Endpoint endpoint;
   boost::asio::ip::tcp::endpoint address;
 };
 
+/// A revision of the host list.
 struct EndpointList {
   std::int64_t revision = 0;
-  bool is_snapshot = true;  // else only what changed
+  bool is_snapshot = true;  ///< If false, holds only the hosts that changed.
   std::vector<EndpointRecord> endpoints;
 };
 
-// "10.1.0.18:3000"; nothing if it is anything else.
+/// Parses an IP address and port such as "10.1.0.18:3000"; std::nullopt if the text is not one.
 std::optional<boost::asio::ip::tcp::endpoint> ParseAddress(const std::string& text);
+/// The inverse of ParseAddress.
 std::string FormatAddress(const boost::asio::ip::tcp::endpoint& endpoint);
-// A list in discovery's form.
+/// Writes a list in the JSON format of the discovery service.
 std::string SerializeEndpointList(const EndpointList& list);
-// Nothing if the text is broken in any part: half a list must not pass for a whole one.
+/// Parses a list in the JSON format of the discovery service. Returns std::nullopt if any part is invalid: a
+/// truncated list must not be taken for a complete one.
 std::optional<EndpointList> ParseEndpointList(std::string_view text);
 
+/// Watches the discovery service for changes to the host list with a sequence of long polls.
 class DiscoveryClient {
  public:
   struct Callbacks {
     std::function<void(EndpointList)> on_update;
-    std::function<void()> on_failure;  // the watch has ended; Watch() begins a new one
+    std::function<void()> on_failure;  ///< The watch has ended; Start() begins a new one.
   };
-  // Without a revision the whole list is asked for first.
+  /// @param revision  of the list that the caller holds; without one, a snapshot is requested first
   DiscoveryClient(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint address,
-                  std::optional<std::int64_t> revision, Callbacks handlers);
+                  std::optional<std::int64_t> revision, Callbacks callbacks);
 
-  // Begins a watch, from the last revision known; does nothing while one is on.
+  /// Begins a watch from the last known revision; does nothing while one is running.
   void Start();
-  // Discovery is elsewhere from now on: what the old one still says is dropped, and the whole list is asked
-  // for.
+  /// Switches to a discovery service at another address: answers of the old one are ignored, and a snapshot
+  /// is requested.
   void SetAddress(const boost::asio::ip::tcp::endpoint& address);
 
-  // Asks anew from the last revision known, on a connection that came up after `since`, whatever the call
-  // that is on would bring, and when. False: nothing is watched here.
+  /// Polls again from the last known revision on a connection established after `since`. A pending poll on an
+  /// older connection is aborted, even if its answer is about to arrive. Returns false if no watch is
+  /// running.
   bool PollAgainSince(Millis since);
-  // Ends the watch, if one is on, without a word; Watch() begins it again.
+  /// Ends the watch, if one is running, without calling on_failure; Start() begins it again.
   void Stop();
-  // The list is known up to here from elsewhere.
+  /// The caller has received the list up to this revision from another source.
   void SetRevision(std::int64_t revision) { revision_ = revision; }
 
   const boost::asio::ip::tcp::endpoint& address() const { return address_; }
   std::optional<std::int64_t> revision() const { return revision_; }
 
  private:
-  struct Call;
-  void Ask();
-  void Expect(const std::shared_ptr<Call>& call, Millis within);
-  void Connected(const std::shared_ptr<Call>& call, Millis wait);
-  void Answered(const std::shared_ptr<Call>& call);
-  void Fail(const std::shared_ptr<Call>& call);
+  struct Poll;
+  void StartPoll();
+  void SetDeadline(const std::shared_ptr<Poll>& poll, Millis timeout);
+  void SendRequest(const std::shared_ptr<Poll>& poll, Millis wait);
+  void HandleAnswer(const std::shared_ptr<Poll>& poll);
+  void Fail(const std::shared_ptr<Poll>& poll);
 
-  void Drop();
-  void Renew();
+  void AbortPoll();
+  void ReopenSocket();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
-  std::optional<std::int64_t> revision_;  // none yet from this discovery: its numbers are its own
+  std::optional<std::int64_t> revision_;  // empty after an address change: each service numbers its own
   const Callbacks callbacks_;
-  std::shared_ptr<boost::asio::ip::tcp::socket> socket_;  // always open; kept between the calls of a watch
+  std::shared_ptr<boost::asio::ip::tcp::socket> socket_;  // always open; reused by the polls of a watch
   bool connected_ = false;
   Millis connected_at_ = 0;
-  std::shared_ptr<Call> call_;  // the one that is on; results of others are dropped
-  std::uint64_t moves_ = 0;
-  boost::asio::steady_timer pause_;
+  std::shared_ptr<Poll> poll_;    // the pending one; results of others are ignored
+  std::uint64_t generation_ = 0;  // incremented to cancel a poll that is scheduled but not yet started
+  boost::asio::steady_timer next_poll_timer_;
   bool watching_ = false;
 };
 
--- a/src/discovery/times.hpp
+++ b/src/discovery/times.hpp
@@ -1,4 +1,5 @@
-// How long news of the hosts may take: one budget, derived in docs/design/discovery.md.
+/// @file
+/// Time budget for learning of a change to the host list; derived in docs/design/discovery.md.
 #ifndef MEADOWYARD_DISCOVERY_TIMES_HPP_
 #define MEADOWYARD_DISCOVERY_TIMES_HPP_
 
@@ -6,19 +7,27 @@
 
 namespace meadowyard::discovery {
 
-constexpr Millis kNotificationTime = 6000;  // the platform's: by then what discovery has counts as told
-constexpr Millis kLongPollWait = 2000;      // that a call of a watch may wait for news
-constexpr Millis kLongPollGrace = 1500;     // beyond that: a watch unanswered by then is broken
-constexpr Millis kFirstPollWait = 1;  // of the first call on a connection: an answer proves that it works
-constexpr Millis kFirstPollTimeout = 3000;  // for that one: a crowded discovery answers in turn
-constexpr Millis kConnectTimeout = 1000;    // a discovery that is cut off never answers a dial
-constexpr Millis kMinUpdateTime = 1500;     // for the dial and the answer that bring the news
+// Set by the platform: after this time every gateway is expected to know a change that discovery has
+// published.
+constexpr Millis kNotificationTime = 6000;
+// Longest time that discovery may hold a poll of a watch while there is no change.
+constexpr Millis kLongPollWait = 2000;
+// Beyond kLongPollWait: a poll without an answer by then counts as failed.
+constexpr Millis kLongPollGrace = 1500;
+// Wait of the first poll on a connection: its immediate answer proves that the connection works.
+constexpr Millis kFirstPollWait = 1;
+// Timeout of the first poll: an overloaded discovery service answers its clients one after the other.
+constexpr Millis kFirstPollTimeout = 3000;
+// A discovery service behind a network partition never completes a connect.
+constexpr Millis kConnectTimeout = 1000;
+// Reserved for the connect and the poll that deliver the update after a failure.
+constexpr Millis kReconnectAndUpdateTime = 1500;
 
-// A watch that falls silent as its call begins; a connection that comes up and is silent from then on; a
-// dial.
+// Three worst cases, each followed by the longest backoff: a watch that stops answering as a poll begins, a
+// new connection that never answers its first poll, and a connect that times out.
 static_assert(kLongPollWait + kLongPollGrace + kMaxPollBackoff + kConnectTimeout <= kNotificationTime);
-static_assert(kFirstPollTimeout + kMaxPollBackoff + kMinUpdateTime <= kNotificationTime);
-static_assert(kConnectTimeout + kMaxPollBackoff + kMinUpdateTime <= kNotificationTime);
+static_assert(kFirstPollTimeout + kMaxPollBackoff + kReconnectAndUpdateTime <= kNotificationTime);
+static_assert(kConnectTimeout + kMaxPollBackoff + kReconnectAndUpdateTime <= kNotificationTime);
 
 }  // namespace meadowyard::discovery
 
