--- a/src/config_file/table_reader.cpp
+++ b/src/config_file/table_reader.cpp
@@ -8,8 +8,8 @@
 namespace meadowyard::config_file {
 namespace {
 
-// A number as an operator would write it.
-std::string ToShortText(double value) {
+// Decimal notation without trailing zeros.
+std::string FormatDecimal(double value) {
   std::string text = std::to_string(value);
   text.erase(text.find_last_not_of('0') + 1);
   if (text.ends_with('.')) text.pop_back();
@@ -50,9 +50,9 @@
   const toml::node* const node = Find(key, !fallback.has_value());
   if (node == nullptr) return *fallback;
   const std::optional<double> value = node->is_number() ? node->value<double>() : std::nullopt;
-  const bool in_range = value && *value >= range.min && *value <= range.max;  // false for NaN
+  const bool in_range = value && *value >= range.min && *value <= range.max;  // also false for NaN
   if (!in_range) {
-    Fail(key, "must be a number from " + ToShortText(range.min) + " to " + ToShortText(range.max));
+    Fail(key, "must be a number from " + FormatDecimal(range.min) + " to " + FormatDecimal(range.max));
   }
   return *value;
 }
@@ -75,7 +75,7 @@
   const toml::node* const node = Find(key, false);
   if (node == nullptr) return std::nullopt;
   if (!node->is_table()) Fail(key, "must be a table");
-  return TableReader(*node->as_table(), path_, NameOf(key));
+  return TableReader(*node->as_table(), path_, QualifiedName(key));
 }
 
 void TableReader::ReadTables(std::string_view key, const std::function<void(TableReader&)>& read) {
@@ -84,7 +84,7 @@
   if (!node->is_array()) Fail(key, "must be a list of tables");
   std::size_t index = 0;
   for (const toml::node& item : *node->as_array()) {
-    const std::string name = NameOf(key) + "[" + std::to_string(index) + "]";
+    const std::string name = QualifiedName(key) + "[" + std::to_string(index) + "]";
     ++index;
     if (!item.is_table()) FailAt(item.source().begin.line, name, "must be a table");
     TableReader reader(*item.as_table(), path_, name);
@@ -95,7 +95,7 @@
 
 void TableReader::Finish() const {
   for (const auto& [key, node] : table_) {
-    if (!read_.contains(key.str())) FailAt(node.source().begin.line, key.str(), "unknown key");
+    if (!requested_keys_.contains(key.str())) FailAt(node.source().begin.line, key.str(), "unknown key");
   }
 }
 
@@ -105,18 +105,18 @@
 }
 
 const toml::node* TableReader::Find(std::string_view key, bool required) {
-  read_.emplace(key);
+  requested_keys_.emplace(key);
   const toml::node* const node = table_.get(key);
   if (node == nullptr && required) FailAt(line(), key, "missing");
   return node;
 }
 
-std::string TableReader::NameOf(std::string_view key) const {
+std::string TableReader::QualifiedName(std::string_view key) const {
   return name_.empty() ? std::string(key) : name_ + "." + std::string(key);
 }
 
 void TableReader::FailAt(std::size_t line, std::string_view key, const std::string& problem) const {
-  throw ConfigurationError(path_ + ":" + std::to_string(line) + ": " + NameOf(key), problem);
+  throw ConfigurationError(path_ + ":" + std::to_string(line) + ": " + QualifiedName(key), problem);
 }
 
 }  // namespace meadowyard::config_file
--- a/src/config_file/table_reader.hpp
+++ b/src/config_file/table_reader.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Reads a TOML table key by key. Every error is a ConfigurationError that names file, line and key, and a
-/// key that was never read is an error too: a misspelt key would silently leave a limit at its default.
+/// Reads a TOML table key by key. Every error is a ConfigurationError that names file, line and key. A key
+/// that was never read is also an error, because a misspelt key would silently leave a limit at its default.
 #ifndef MEADOWYARD_CONFIG_FILE_TABLE_READER_HPP_
 #define MEADOWYARD_CONFIG_FILE_TABLE_READER_HPP_
 
@@ -17,13 +17,13 @@
 
 namespace meadowyard::config_file {
 
-/// Bounds of a number, both included.
+/// Inclusive bounds of a number.
 struct Range {
   double min = 0;
   double max = 0;
 };
 
-/// A key that has a fallback may be missing; any other missing key is an error.
+/// A key with a fallback is optional; any other missing key is an error.
 class TableReader {
  public:
   /// @param table   must outlive the reader
@@ -31,37 +31,37 @@
   /// @param name    of the table, as errors show it before a key; empty for the file itself
   TableReader(const toml::table& table, std::string path, std::string name);
 
-  /// Line that the table begins at.
+  /// Line of the file at which the table begins.
   [[nodiscard]] std::size_t line() const { return table_.source().begin.line; }
   [[nodiscard]] bool Has(std::string_view key) const { return table_.contains(key); }
 
   std::string ReadString(std::string_view key, std::optional<std::string> fallback = {});
-  /// A list with at least one string.
+  /// Reads a required list with at least one string.
   std::vector<std::string> ReadStrings(std::string_view key);
   bool ReadBool(std::string_view key, bool fallback);
   double ReadNumber(std::string_view key, std::optional<double> fallback, Range range);
   std::size_t ReadCount(std::string_view key, std::size_t fallback, Range range);
-  /// An IP address with a port.
+  /// Reads a required IP address with a port, such as "10.1.0.18:3000".
   boost::asio::ip::tcp::endpoint ReadAddress(std::string_view key);
-  /// The table under a key; nothing if the key is missing. Its reader must be finished separately.
+  /// The table under a key; std::nullopt if the key is missing. The caller must call Finish() on its reader.
   std::optional<TableReader> ReadTable(std::string_view key);
-  /// Calls `read` for each table of an array, if there is one, and finishes its reader after that.
+  /// Calls `read` for each table of an optional array of tables, then Finish() on the table's reader.
   void ReadTables(std::string_view key, const std::function<void(TableReader&)>& read);
 
   /// Throws if the table has a key that was never read.
   void Finish() const;
-  /// Throws the error that says what is wrong with a key.
+  /// Throws a ConfigurationError with file, line and key, and with `problem` as the description.
   [[noreturn]] void Fail(std::string_view key, const std::string& problem) const;
 
  private:
   const toml::node* Find(std::string_view key, bool required);
-  std::string NameOf(std::string_view key) const;
+  std::string QualifiedName(std::string_view key) const;
   [[noreturn]] void FailAt(std::size_t line, std::string_view key, const std::string& problem) const;
 
   const toml::table& table_;
   std::string path_;
   std::string name_;
-  std::set<std::string, std::less<>> read_;  // the keys that were read, there or not
+  std::set<std::string, std::less<>> requested_keys_;  // keys that were looked up, whether present or not
 };
 
 }  // namespace meadowyard::config_file
--- a/src/config_file/toml_file.hpp
+++ b/src/config_file/toml_file.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Operators' files in TOML 1.0: reading one, with errors that name the file and the line.
+/// Reads operators' configuration files in TOML 1.0. Errors name the file and the line.
 #ifndef MEADOWYARD_CONFIG_FILE_TOML_FILE_HPP_
 #define MEADOWYARD_CONFIG_FILE_TOML_FILE_HPP_
 
@@ -9,10 +9,11 @@
 
 namespace meadowyard::config_file {
 
-/// The content of a file. Throws ConfigurationError if it can't be read.
+/// Returns the content of a file. Throws ConfigurationError if it can't be read.
 std::string ReadText(const std::string& path);
 
-/// Parses the text of a file. Throws ConfigurationError "PATH:LINE: PROBLEM" if it is not TOML.
+/// Parses the content of the file at `path`. Throws ConfigurationError "PATH:LINE: PROBLEM" if it is not
+/// valid TOML.
 toml::table ParseToml(const std::string& text, const std::string& path);
 
 }  // namespace meadowyard::config_file
--- a/src/log/log.hpp
+++ b/src/log/log.hpp
@@ -1,5 +1,6 @@
-// The program's log: one event name and its fields a line, as text or as JSON (through spdlog, to standard
-// error).
+/// @file
+/// The program's log, written to standard error through spdlog. Each line has one event name and its fields,
+/// as text or as JSON.
 #ifndef MEADOWYARD_LOG_LOG_HPP_
 #define MEADOWYARD_LOG_LOG_HPP_
 
@@ -12,14 +13,16 @@
 enum class Level { kDebug, kInfo, kWarn, kError };
 enum class Format { kText, kJson };
 
+/// Names and values, in the order in which they are written.
 using Fields = std::vector<std::pair<std::string, std::string>>;
 
-// Before the first line; `least` is "debug", "info", "warn" or "error". Throws std::invalid_argument naming
-// what it can't use.
-void StartLog(Format form, const std::string& least);
+/// Sets format and minimum level; to be called before the first Write(). `min_level` is "debug", "info",
+/// "warn" or "error". Throws std::invalid_argument that names any other value.
+void StartLog(Format line_format, const std::string& min_level);
+/// Writes one line. Never blocks. Drops the line if it can't be written or if memory runs out.
 void Write(Level level, const std::string& event, const Fields& fields = {});
-// The line as it is written, for tests and tools.
-std::string FormatLine(Format form, Level level, const std::string& time, const std::string& event,
+/// Formats a line as Write() does, for tests and tools.
+std::string FormatLine(Format line_format, Level level, const std::string& time, const std::string& event,
                        const Fields& fields);
 
 }  // namespace meadowyard::log
