--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,5 +1,5 @@
-// News of the hosts within the platform's 6 s, whatever became of a call: through sockets, discovery being a
-// stand-in that holds back what the case says.
+// The gateway must learn of changes to the host list within the platform's limit of 6 s, even if a poll
+// fails. The tests use real sockets and a fake discovery service that delays or truncates its answers.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <sys/resource.h>
@@ -14,59 +14,61 @@
 namespace meadowyard::testing {
 namespace {
 
-enum class Silence { kOfAWatch, kFromTheFirstByte, kInAnAnswer, kTrickles };
-constexpr const char* kSilences[] = {"OfAWatch", "FromTheFirstByte", "InAnAnswer", "Trickles"};
+enum class Stall { kOnLaterPoll, kOnFirstPoll, kInsideAnswer, kTrickledAnswer };
+constexpr const char* kStallNames[] = {"OnLaterPoll", "OnFirstPoll", "InsideAnswer", "TrickledAnswer"};
 
-class SilentDiscovery : public ::testing::TestWithParam<Silence> {};
+class DiscoveryStall : public ::testing::TestWithParam<Stall> {};
 
-// Guards hosts that were announced as leaving against requests of a gateway whose watch has fallen silent.
-// The silence begins with the call: no later than that can a change be missed.
-TEST_P(SilentDiscovery, IsGivenUpInTimeForTheNews) {
+// A gateway whose discovery connection stalls must not go on sending requests to hosts that are leaving. The
+// stall begins with the poll, the earliest time from which a change can be missed, so the test measures the
+// longest delay.
+TEST_P(DiscoveryStall, IsFollowedByANewConnectionWithinTheNotificationTime) {
   World world(2);
   Peer& discovery = world.discovery;
-  for (auto& host : world.hosts) host->serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  for (auto& host : world.hosts) host->serve = [](const Peer::Taken& request) { request.Answer(200, ""); };
   ASSERT_TRUE(world.Until([&] { return discovery.requests.size() == 1; }));
-  if (GetParam() != Silence::kFromTheFirstByte) {
+  if (GetParam() != Stall::kOnFirstPoll) {
     discovery.requests[0].Answer(200, List(42, false, {}).dump());
     ASSERT_TRUE(world.Until([&] { return discovery.requests.size() == 2; }));
   }
-  const Millis silent_at = core::Now();
-  const std::size_t calls = discovery.requests.size();
-  const auto silent = discovery.requests.back().on;
-  const bool trickles = GetParam() == Silence::kTrickles;
-  if (trickles || GetParam() == Silence::kInAnAnswer) {
-    silent->Raw("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{\"revision\":");
+  const Millis stalled_at = core::Now();
+  const std::size_t polls_before_stall = discovery.requests.size();
+  const auto stalled_connection = discovery.requests.back().on;
+  const bool trickles = GetParam() == Stall::kTrickledAnswer;
+  if (trickles || GetParam() == Stall::kInsideAnswer) {
+    stalled_connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{\"revision\":");
   }
-  Millis said_at = 0;
+  Millis last_byte_at = 0;
   ASSERT_TRUE(world.Until([&] {
-    if (trickles && core::Now() - said_at > 20) silent->Raw(" "), said_at = core::Now();
-    return discovery.requests.size() > calls;
+    if (trickles && core::Now() - last_byte_at > 20) stalled_connection->Raw(" "), last_byte_at = core::Now();
+    return discovery.requests.size() > polls_before_stall;
   }));
-  EXPECT_NE(discovery.requests.back().on, silent) << "what is broken is opened anew";
+  EXPECT_NE(discovery.requests.back().on, stalled_connection) << "polls again on the connection that stalled";
   discovery.requests.back().Answer(
       200, List(43, false, {Member("h0", world.host(0).address(), "draining")}).dump());
-  ASSERT_TRUE(world.Until([&] { return discovery.requests.size() > calls + 1; }));
-  EXPECT_LE(core::Now() - silent_at, discovery::kNotificationTime);
+  ASSERT_TRUE(world.Until([&] { return discovery.requests.size() > polls_before_stall + 1; }));
+  EXPECT_LE(core::Now() - stalled_at, discovery::kNotificationTime);
   const auto client = world.Connect();
-  const std::size_t before = world.host(0).requests.size();
+  const std::size_t initial_requests = world.host(0).requests.size();
   for (std::size_t i = 1; i <= 20; ++i) {
     client->Send(ApiCall("r" + std::to_string(i)));
     EXPECT_EQ(client->Await(i).result(), http::status::ok);
   }
-  EXPECT_EQ(world.host(0).requests.size(), before);
+  EXPECT_EQ(world.host(0).requests.size(), initial_requests);
 }
 
-INSTANTIATE_TEST_SUITE_P(Is, SilentDiscovery,
-                         ::testing::Values(Silence::kOfAWatch, Silence::kFromTheFirstByte,
-                                           Silence::kInAnAnswer, Silence::kTrickles),
-                         [](const auto& info) { return kSilences[static_cast<int>(info.param)]; });
+INSTANTIATE_TEST_SUITE_P(AllKinds, DiscoveryStall,
+                         ::testing::Values(Stall::kOnLaterPoll, Stall::kOnFirstPoll, Stall::kInsideAnswer,
+                                           Stall::kTrickledAnswer),
+                         [](const auto& info) { return kStallNames[static_cast<int>(info.param)]; });
 
-// Guards a process that was stopped: its dial had come up in time, though the time to wait for it is over
-// when the loop runs again. Both are ready in one turn of the loop, the connection first.
-TEST(DiscoveryDial, ThatCameUpIsKeptThoughItsTimerIsDue) {
+// Guards a process that was stopped while connecting: the connection was established in time, but the timeout
+// has passed when the event loop runs again. Both events are ready in the same iteration, the connection
+// first.
+TEST(DiscoveryConnection, IsKeptIfEstablishedBeforeItsTimeoutIsHandled) {
   World world;
-  std::this_thread::sleep_for(
-      std::chrono::milliseconds(static_cast<int>(discovery::kConnectTimeout) + 100));  // SIGSTOP's part
+  // Blocks as if the process were stopped by SIGSTOP.
+  std::this_thread::sleep_for(std::chrono::milliseconds(static_cast<int>(discovery::kConnectTimeout) + 100));
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
   world.discovery.requests[0].Answer(200, List(42, false, {}).dump());
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 2; }));
@@ -74,15 +76,15 @@
   EXPECT_EQ(world.discovery.requests[1].on, world.discovery.requests[0].on);
 }
 
-// Guards a discovery that answers against a loop that stands still when the time of a call runs out: the
-// answer lies in the socket, in more pieces than one turn reads.
-TEST(DiscoveryCall, ThatWasAnsweredIsKeptThoughItsTimerIsDue) {
-  constexpr Millis kStandsStill = 400;  // too short for a pause that has discovery asked anew
+// A poll that was answered in time must not fail because the event loop was stalled at its deadline. The
+// answer is in the socket's buffer by then, but is larger than one iteration of the loop reads.
+TEST(DiscoveryPoll, SucceedsIfAnsweredBeforeItsTimeoutIsHandled) {
+  constexpr Millis kLoopStall = 400;  // in ms; shorter than a stall after which the gateway polls again
   World world;
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
-  const Millis asked_at = core::Now();
+  const Millis polled_at = core::Now();
   ASSERT_TRUE(
-      world.Until([&] { return core::Now() - asked_at > discovery::kFirstPollTimeout - kStandsStill / 2; }));
+      world.Until([&] { return core::Now() - polled_at > discovery::kFirstPollTimeout - kLoopStall / 2; }));
   std::vector<nlohmann::json> members;
   for (int i = 0; i < 300; ++i) members.push_back(Member("m" + std::to_string(i), Loopback(9)));
   const std::string body = List(42, true, members).dump();
@@ -92,60 +94,64 @@
       asio::buffer("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body),
       ec);
   ASSERT_FALSE(ec);
-  std::this_thread::sleep_for(std::chrono::milliseconds(static_cast<int>(kStandsStill)));
+  std::this_thread::sleep_for(std::chrono::milliseconds(static_cast<int>(kLoopStall)));
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 2; }));
   EXPECT_EQ(world.discovery.connections.size(), 1u);
   EXPECT_NE(world.discovery.requests[1].http.target().find("after=42"), std::string::npos);
 }
 
-// Guards what is learned of hosts that leave against clients that hold every other descriptor: the next
-// connection's is there when the last one breaks, whoever takes all that are free just then.
-TEST(DiscoveryDial, HasADescriptorWhenThereIsNoneLeft) {
+// The gateway must be able to reconnect to discovery while clients use all other file descriptors; otherwise
+// it doesn't learn that hosts are leaving. The descriptor for the next connection is reserved when the last
+// one breaks, even if all free descriptors are taken at that moment.
+TEST(DiscoveryConnection, ReconnectsWhenAllOtherDescriptorsAreInUse) {
   asio::io_context io;
   Peer peer(io);
-  rlimit before{};
-  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &before), 0);
-  std::vector<int> taken;
-  const auto take_all = [&] {
-    for (int fd = 0; (fd = ::open("/dev/null", O_RDONLY | O_CLOEXEC)) >= 0;) taken.push_back(fd);
+  rlimit initial_limit{};
+  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &initial_limit), 0);
+  std::vector<int> used_descriptors;
+  const auto use_all_descriptors = [&] {
+    for (int fd = 0; (fd = ::open("/dev/null", O_RDONLY | O_CLOEXEC)) >= 0;) used_descriptors.push_back(fd);
   };
-  int failed = 0;
-  meadowyard::discovery::DiscoveryClient* asked = nullptr;
-  meadowyard::discovery::DiscoveryClient discovery(io, peer.address(), 41,
-                                                   {[](const meadowyard::discovery::EndpointList&) {},
-                                                    [&] {
-                                                      ++failed;
-                                                      take_all();
-                                                      asked->Start();
-                                                      ::close(taken.back());  // that the stand-in may accept
-                                                      taken.pop_back();
-                                                    }});
-  asked = &discovery;
+  int failures = 0;
+  meadowyard::discovery::DiscoveryClient* client_to_restart = nullptr;
+  meadowyard::discovery::DiscoveryClient discovery(
+      io, peer.address(), 41,
+      {[](const meadowyard::discovery::EndpointList&) {},
+       [&] {
+         ++failures;
+         use_all_descriptors();
+         client_to_restart->Start();
+         ::close(used_descriptors.back());  // lets the fake discovery service accept
+         used_descriptors.pop_back();
+       }});
+  client_to_restart = &discovery;
   discovery.Start();
   ASSERT_TRUE(RunUntil(io, [&] { return peer.requests.size() == 1; }));
-  const int next = ::dup(0);
-  ::close(next);
-  const rlimit few{static_cast<rlim_t>(next) + 10, before.rlim_max};
-  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &few), 0);
-  take_all();
+  const int lowest_free = ::dup(0);
+  ::close(lowest_free);
+  const rlimit low_limit{static_cast<rlim_t>(lowest_free) + 10, initial_limit.rlim_max};
+  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &low_limit), 0);
+  use_all_descriptors();
   peer.requests[0].on->Close();
-  EXPECT_TRUE(RunUntil(io, [&] { return peer.requests.size() == 2 || failed > 1; }));
-  EXPECT_EQ(failed, 1);
-  for (const int fd : taken) ::close(fd);
-  setrlimit(RLIMIT_NOFILE, &before);
+  EXPECT_TRUE(RunUntil(io, [&] { return peer.requests.size() == 2 || failures > 1; }));
+  EXPECT_EQ(failures, 1);
+  for (const int fd : used_descriptors) ::close(fd);
+  setrlimit(RLIMIT_NOFILE, &initial_limit);
 }
 
-// Guards against changes to another list than the one that is held: hosts that left in between would stay.
-TEST(DiscoveryChanges, ThatDoNotFollowAreAskedForAsAWholeList) {
+// Changes that don't continue the held revision must not be applied: hosts removed in between would stay
+// listed.
+TEST(DiscoveryUpdates, ThatDontContinueTheHeldRevisionAreReplacedByASnapshot) {
   World world(2);
   Peer& discovery = world.discovery;
   ASSERT_TRUE(world.Until([&] { return discovery.requests.size() == 1; }));
-  discovery.requests[0].Answer(200, List(7, false, {}).dump());  // after 41
+  discovery.requests[0].Answer(200, List(7, false, {}).dump());  // the gateway holds revision 41
   ASSERT_TRUE(world.Until([&] { return discovery.requests.size() == 2; }));
   EXPECT_EQ(discovery.requests[1].http.target(), "/discovery/hosts");
   discovery.requests[1].Answer(200, List(8, false, {Member("h1", world.host(1).address())}).dump());
   ASSERT_TRUE(world.Until([&] { return discovery.requests.size() == 3; }));
-  EXPECT_EQ(discovery.requests[2].http.target(), "/discovery/hosts") << "changes where all was asked for";
+  EXPECT_EQ(discovery.requests[2].http.target(), "/discovery/hosts")
+      << "accepted changes in answer to a request for a snapshot";
   discovery.requests[2].Answer(200, List(8, true, {Member("h1", world.host(1).address())}).dump());
   ASSERT_TRUE(world.Until([&] { return discovery.requests.size() == 4; }));
   EXPECT_EQ(std::string(discovery.requests[3].http.target()).find("/discovery/hosts?after=8&"), 0u);
