--- a/src/operations/admin_delegate.hpp
+++ b/src/operations/admin_delegate.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the operators' calls need of the gateway.
+/// The interface through which operators' calls query and change the gateway.
 #ifndef MEADOWYARD_OPERATIONS_ADMIN_DELEGATE_HPP_
 #define MEADOWYARD_OPERATIONS_ADMIN_DELEGATE_HPP_
 
@@ -11,7 +11,7 @@
 
 namespace meadowyard::operations {
 
-/// The gateway as operators see it. All calls come on the event loop's thread.
+/// Implemented by the gateway. All functions are called on the event loop's thread.
 class AdminDelegate {
  public:
   AdminDelegate() = default;
@@ -19,17 +19,17 @@
   AdminDelegate& operator=(const AdminDelegate&) = delete;
   virtual ~AdminDelegate() = default;
 
-  /// Whether the gateway serves clients.
+  /// Whether the gateway is serving clients.
   virtual bool IsReady() = 0;
   /// The metrics as a JSON object.
   virtual std::string MetricsJson() = 0;
-  /// Puts a host into maintenance or ends it; false if no host has this id.
+  /// Starts or ends a host's maintenance; false if no host has this id.
   virtual bool ChangeMaintenance(const MaintenanceChange& change) = 0;
-  /// The open tunnels as JSON; nothing where the gateway has no tunnels.
+  /// The open tunnels as JSON; std::nullopt if the gateway has no tunnel support.
   virtual std::optional<std::string> TunnelsJson() = 0;
-  /// Closes a tunnel; false if none has this id. Called only where TunnelsJson() returns something.
+  /// Closes a tunnel; false if none has this id. Called only if TunnelsJson() returns a value.
   virtual bool CloseTunnel(std::uint64_t id) = 0;
-  /// The state of the other gateways as JSON; nothing where the gateway has no peers.
+  /// The state of the other gateways as JSON; std::nullopt if the gateway has no peers.
   virtual std::optional<std::string> PeersJson() = 0;
 };
 
--- a/src/operations/admin_router.cpp
+++ b/src/operations/admin_router.cpp
@@ -13,21 +13,22 @@
 
 namespace http = boost::beast::http;
 
-constexpr unsigned kHttp11 = 11;  // as Beast writes versions
+constexpr unsigned kHttp11 = 11;  // Beast's encoding of HTTP/1.1: 10 * major + minor
 
-HttpResponse JsonReply(std::string json) {
-  HttpResponse response = PlainTextReply(http::status::ok, std::move(json));
+HttpResponse JsonResponse(std::string json) {
+  HttpResponse response = PlainTextResponse(http::status::ok, std::move(json));
   response.set(http::field::content_type, "application/json");
   return response;
 }
 
-HttpResponse UnknownPath() { return PlainTextReply(http::status::not_found, "no such path\n"); }
+HttpResponse UnknownPathResponse() { return PlainTextResponse(http::status::not_found, "no such path\n"); }
 
-HttpResponse JsonReplyIfAny(std::optional<std::string> json) {
-  return json ? JsonReply(std::move(*json)) : UnknownPath();
+HttpResponse JsonResponseOrNotFound(std::optional<std::string> json) {
+  return json ? JsonResponse(std::move(*json)) : UnknownPathResponse();
 }
 
-// A number that is too large for any tunnel is read as 0, which no tunnel has.
+// std::nullopt if the text is not a decimal number. A number of more than 64 bits yields 0, which is never a
+// tunnel's id, so that the caller is answered with 404.
 std::optional<std::uint64_t> ParseTunnelId(const std::optional<std::string>& text) {
   if (!text) return std::nullopt;
   std::uint64_t id = 0;
@@ -38,7 +39,7 @@
 
 }  // namespace
 
-HttpResponse PlainTextReply(http::status status, std::string text) {
+HttpResponse PlainTextResponse(http::status status, std::string text) {
   HttpResponse response(status, kHttp11);
   response.set(http::field::content_type, "text/plain");
   response.body() = std::move(text);
@@ -69,16 +70,16 @@
 
 HttpResponse AdminRouter::Handle(const HttpRequest& request) {
   if (FramingOf(request) == Framing::kAmbiguous) {
-    return PlainTextReply(http::status::bad_request, "where the body ends is not clear\n");
+    return PlainTextResponse(http::status::bad_request, "where the body ends is not clear\n");
   }
   const std::string_view target = View(request.target());
   const std::string_view path = target.substr(0, target.find('?'));
   const std::string_view query = path.size() < target.size() ? target.substr(path.size() + 1) : "";
   const Route* const route = FindRoute(path);
-  if (route == nullptr) return UnknownPath();
+  if (route == nullptr) return UnknownPathResponse();
   if (request.method() != route->method) {
     HttpResponse response =
-        PlainTextReply(http::status::method_not_allowed, "the path takes another method\n");
+        PlainTextResponse(http::status::method_not_allowed, "the path takes another method\n");
     response.set(http::field::allow, http::to_string(route->method));
     return response;
   }
@@ -86,26 +87,30 @@
 }
 
 HttpResponse AdminRouter::Readiness(std::string_view /*query*/) {
-  return delegate_.IsReady() ? PlainTextReply(http::status::ok, "yes\n")
-                             : PlainTextReply(http::status::service_unavailable, "no\n");
+  return delegate_.IsReady() ? PlainTextResponse(http::status::ok, "yes\n")
+                             : PlainTextResponse(http::status::service_unavailable, "no\n");
 }
 
-HttpResponse AdminRouter::Metrics(std::string_view /*query*/) { return JsonReply(delegate_.MetricsJson()); }
+HttpResponse AdminRouter::Metrics(std::string_view /*query*/) {
+  return JsonResponse(delegate_.MetricsJson());
+}
 
-HttpResponse AdminRouter::Peers(std::string_view /*query*/) { return JsonReplyIfAny(delegate_.PeersJson()); }
+HttpResponse AdminRouter::Peers(std::string_view /*query*/) {
+  return JsonResponseOrNotFound(delegate_.PeersJson());
+}
 
 HttpResponse AdminRouter::Tunnels(std::string_view /*query*/) {
-  return JsonReplyIfAny(delegate_.TunnelsJson());
+  return JsonResponseOrNotFound(delegate_.TunnelsJson());
 }
 
 HttpResponse AdminRouter::CloseTunnel(std::string_view query) {
-  if (!delegate_.TunnelsJson()) return UnknownPath();
+  if (!delegate_.TunnelsJson()) return UnknownPathResponse();
   const auto id = ParseTunnelId(FindQueryParameter(query, "id"));
-  if (!id) return PlainTextReply(http::status::bad_request, "id: one tunnel's number is wanted\n");
+  if (!id) return PlainTextResponse(http::status::bad_request, "id: one tunnel's number is wanted\n");
   if (!delegate_.CloseTunnel(*id)) {
-    return PlainTextReply(http::status::not_found, "no tunnel has this number\n");
+    return PlainTextResponse(http::status::not_found, "no tunnel has this number\n");
   }
-  return PlainTextReply(http::status::ok, "closed\n");
+  return PlainTextResponse(http::status::ok, "closed\n");
 }
 
 HttpResponse AdminRouter::EnterMaintenance(std::string_view query) { return ChangeMaintenance(query, true); }
@@ -114,11 +119,11 @@
 
 HttpResponse AdminRouter::ChangeMaintenance(std::string_view query, bool in_maintenance) {
   const auto host = FindQueryParameter(query, "target");
-  if (!host) return PlainTextReply(http::status::bad_request, "target: one host id is wanted\n");
+  if (!host) return PlainTextResponse(http::status::bad_request, "target: one host id is wanted\n");
   if (!delegate_.ChangeMaintenance({.host_id = *host, .in_maintenance = in_maintenance})) {
-    return PlainTextReply(http::status::not_found, "no host has this id\n");
+    return PlainTextResponse(http::status::not_found, "no host has this id\n");
   }
-  return PlainTextReply(http::status::ok, in_maintenance ? "left out\n" : "put back\n");
+  return PlainTextResponse(http::status::ok, in_maintenance ? "left out\n" : "put back\n");
 }
 
 }  // namespace meadowyard::operations
--- a/src/operations/admin_router.hpp
+++ b/src/operations/admin_router.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The operators' calls: which paths there are, and what each answers. Does no I/O of its own.
+/// The paths, methods and responses of the operators' calls. Performs no I/O.
 #ifndef MEADOWYARD_OPERATIONS_ADMIN_ROUTER_HPP_
 #define MEADOWYARD_OPERATIONS_ADMIN_ROUTER_HPP_
 
@@ -13,16 +13,16 @@
 
 namespace meadowyard::operations {
 
-/// A reply with a body of plain text.
-HttpResponse PlainTextReply(boost::beast::http::status status, std::string text);
+/// A response with a plain-text body.
+HttpResponse PlainTextResponse(boost::beast::http::status status, std::string text);
 
-/// Finds the handler of a call by its path and method, and has it answer.
+/// Dispatches each call by its path and method to the function that answers it.
 class AdminRouter {
  public:
   /// The delegate must outlive the router.
   explicit AdminRouter(AdminDelegate& delegate) : delegate_(delegate) {}
 
-  /// Answers a complete request. A mistake of the caller is answered with a status of 4xx.
+  /// Answers a complete request. An invalid request gets a 4xx status.
   HttpResponse Handle(const HttpRequest& request);
 
  private:
--- a/src/operations/admin_server.cpp
+++ b/src/operations/admin_server.cpp
@@ -13,13 +13,13 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-constexpr Millis kAcceptRetryDelay = 50;  // after a failed accept: an immediate retry would spin
+constexpr Millis kAcceptRetryDelay = 50;  // after a failed accept: immediate retries would be a busy loop
 
 }  // namespace
 
 AdminServer::AdminServer(asio::io_context& io, const tcp::endpoint& address, Limits limits,
                          AdminDelegate& delegate)
-    : acceptor_(io), accept_retry_(io), limits_(limits), router_(delegate) {
+    : acceptor_(io), accept_retry_timer_(io), limits_(limits), router_(delegate) {
   acceptor_.open(address.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
   acceptor_.non_blocking(true);
@@ -29,14 +29,14 @@
 }
 
 void AdminServer::Accept() {
-  KeepSpareDescriptor();
+  ReserveSpareDescriptor();
   acceptor_.async_accept([this](error_code ec, tcp::socket socket) { OnAccepted(ec, std::move(socket)); });
 }
 
 void AdminServer::OnAccepted(error_code ec, tcp::socket socket) {
   if (!acceptor_.is_open()) return;
   if (!ec) {
-    Accept();  // first, so that the next connection is accepted whatever becomes of this one
+    Accept();  // first, so that a failure of this session can't stop the server from accepting
     return StartSession(std::move(socket));
   }
   RetryAcceptLater();
@@ -44,8 +44,8 @@
 }
 
 void AdminServer::RetryAcceptLater() {
-  accept_retry_.expires_after(core::ToDuration(kAcceptRetryDelay));
-  accept_retry_.async_wait([this](error_code ec) {
+  accept_retry_timer_.expires_after(core::ToDuration(kAcceptRetryDelay));
+  accept_retry_timer_.async_wait([this](error_code ec) {
     if (!ec) Accept();
   });
 }
@@ -59,7 +59,7 @@
   error_code ec;
   tcp::socket socket = acceptor_.accept(ec);
   if (!ec) return StartSession(std::move(socket));
-  KeepSpareDescriptor();  // the caller has disconnected: back at once, before anything else takes it
+  ReserveSpareDescriptor();  // the caller has disconnected: reserve it again before other code can use it
 }
 
 void AdminServer::StartSession(tcp::socket socket) {
@@ -70,7 +70,7 @@
           .on_request = [this](const HttpRequest& request) { return router_.Handle(request); },
           .on_closed =
               [this](const std::shared_ptr<AdminSession>& closed) {
-                KeepSpareDescriptor();  // at once, before anything else takes what the session gave back
+                ReserveSpareDescriptor();  // before other code can use the descriptor that the session freed
                 sessions_.remove(closed);
               }});
   sessions_.push_back(session);
@@ -78,11 +78,11 @@
 }
 
 void AdminServer::CloseOldestSession() {
-  const auto oldest = sessions_.front();  // closing takes it out of the list
+  const auto oldest = sessions_.front();  // a copy, since Close() removes it from the list
   oldest->Close();
 }
 
-void AdminServer::KeepSpareDescriptor() {
+void AdminServer::ReserveSpareDescriptor() {
   if (!spare_descriptor_) spare_descriptor_ = Descriptor(::open("/dev/null", O_RDONLY | O_CLOEXEC));
 }
 
--- a/src/operations/admin_server.hpp
+++ b/src/operations/admin_server.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The listener for operators' calls: one short HTTP call a connection. It is apart from the clients'
-/// listener, so that operators are answered however many clients there are.
+/// The listener for operators' calls: one short HTTP request per connection. It is separate from the clients'
+/// listener, so that operators are answered however many clients are connected.
 #ifndef MEADOWYARD_OPERATIONS_ADMIN_SERVER_HPP_
 #define MEADOWYARD_OPERATIONS_ADMIN_SERVER_HPP_
 
@@ -18,16 +18,16 @@
 
 namespace meadowyard::operations {
 
-/// Accepts operators' connections. It answers even when the process has no file descriptor left: it keeps a
-/// spare one, and beyond that closes its oldest session.
+/// Accepts operators' connections, even when the process has run out of file descriptors: it then frees one
+/// by closing a descriptor reserved for this case or, if none is reserved, its oldest session.
 class AdminServer {
  public:
   struct Limits {
-    std::size_t max_sessions = 16;  ///< Beyond it the oldest session is closed for a new one.
+    std::size_t max_sessions = 16;  ///< At this limit, a new connection closes the oldest session.
     AdminSession::Timeouts timeouts;
   };
 
-  /// Listens at once. Throws boost::system::system_error if it can't. The delegate must outlive the server.
+  /// Starts to listen. Throws boost::system::system_error on failure. The delegate must outlive the server.
   AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, Limits limits,
               AdminDelegate& delegate);
 
@@ -40,14 +40,14 @@
   void AcceptWithFreedDescriptor();
   void StartSession(boost::asio::ip::tcp::socket socket);
   void CloseOldestSession();
-  void KeepSpareDescriptor();
+  void ReserveSpareDescriptor();
 
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer accept_retry_;
+  boost::asio::steady_timer accept_retry_timer_;
   const Limits limits_;
   AdminRouter router_;
-  Descriptor spare_descriptor_;  // given up for a connection that arrives when there is no other left
-  std::list<std::shared_ptr<AdminSession>> sessions_;  // the oldest first
+  Descriptor spare_descriptor_;                        // closed to accept a connection when no other is free
+  std::list<std::shared_ptr<AdminSession>> sessions_;  // oldest first
 };
 
 }  // namespace meadowyard::operations
--- a/src/operations/admin_session.cpp
+++ b/src/operations/admin_session.cpp
@@ -18,11 +18,11 @@
 
 AdminSession::AdminSession(tcp::socket socket, Timeouts timeouts, Callbacks callbacks)
     : socket_(std::move(socket)),
-      timer_(socket_.get_executor()),
+      step_timer_(socket_.get_executor()),
       timeouts_(timeouts),
       callbacks_(std::move(callbacks)) {
-  parser_.header_limit(kMaxRequestSize);
-  parser_.body_limit(kMaxRequestSize);
+  parser_.header_limit(kMaxHeaderOrBodyBytes);
+  parser_.body_limit(kMaxHeaderOrBodyBytes);
 }
 
 void AdminSession::Start() {
@@ -30,30 +30,30 @@
   socket_.set_option(tcp::no_delay(true), ignored);
   StartTimer(timeouts_.request);
   http::async_read(socket_, buffer_, parser_,
-                   [self = shared_from_this()](error_code ec, std::size_t) { self->OnRead(ec); });
+                   [self = shared_from_this()](error_code ec, std::size_t) { self->OnRequestRead(ec); });
 }
 
-void AdminSession::OnRead(error_code ec) {
+void AdminSession::OnRequestRead(error_code ec) {
   if (closed_ || answered_) return;
-  if (!ec) return Reply(callbacks_.on_request(parser_.get()));
-  // A caller that ended half a request can still read what is wrong with it; one that reset the connection,
-  // or sent nothing, can't.
+  if (!ec) return SendResponse(callbacks_.on_request(parser_.get()));
+  // Malformed and truncated requests are answered with the parser's error. No response is possible after a
+  // reset, or needed if the caller closed the connection without a request.
   const bool malformed = ec.category() == http::make_error_code(http::error::bad_version).category();
   if (!malformed || ec == http::error::end_of_stream) return Close();
-  Reply(PlainTextReply(http::status::bad_request, ec.message() + "\n"));
+  SendResponse(PlainTextResponse(http::status::bad_request, ec.message() + "\n"));
 }
 
-void AdminSession::Reply(HttpResponse response) {
+void AdminSession::SendResponse(HttpResponse response) {
   answered_ = true;
   response_ = std::move(response);
   response_.keep_alive(false);
   response_.prepare_payload();
   StartTimer(timeouts_.request);
   http::async_write(socket_, response_,
-                    [self = shared_from_this()](error_code ec, std::size_t) { self->OnReplied(ec); });
+                    [self = shared_from_this()](error_code ec, std::size_t) { self->OnResponseSent(ec); });
 }
 
-void AdminSession::OnReplied(error_code ec) {
+void AdminSession::OnResponseSent(error_code ec) {
   if (closed_) return;
   if (!ec) socket_.shutdown(tcp::socket::shutdown_send, ec);
   if (ec) return Close();
@@ -61,18 +61,20 @@
   DiscardInput();
 }
 
-// Closing with bytes unread would reset the connection, and the caller could lose the response.
+// Reads until the caller closes the connection: closing the socket with unread data would reset the
+// connection, and the caller could lose the response.
 void AdminSession::DiscardInput() {
-  socket_.async_read_some(asio::buffer(discarded_), [self = shared_from_this()](error_code ec, std::size_t) {
-    if (self->closed_) return;
-    if (ec) return self->Close();
-    self->DiscardInput();
-  });
+  socket_.async_read_some(asio::buffer(discard_buffer_),
+                          [self = shared_from_this()](error_code ec, std::size_t) {
+                            if (self->closed_) return;
+                            if (ec) return self->Close();
+                            self->DiscardInput();
+                          });
 }
 
 void AdminSession::StartTimer(Millis timeout) {
-  timer_.expires_after(core::ToDuration(timeout));
-  timer_.async_wait([self = shared_from_this()](error_code ec) {
+  step_timer_.expires_after(core::ToDuration(timeout));
+  step_timer_.async_wait([self = shared_from_this()](error_code ec) {
     if (!ec) self->OnTimeout();
   });
 }
@@ -80,16 +82,16 @@
 void AdminSession::OnTimeout() {
   if (closed_) return;
   if (answered_) return Close();
-  Reply(PlainTextReply(http::status::request_timeout, "the call is not whole\n"));
+  SendResponse(PlainTextResponse(http::status::request_timeout, "the call is not whole\n"));
 }
 
 void AdminSession::Close() {
   if (std::exchange(closed_, true)) return;
   error_code ignored;
   socket_.close(ignored);
-  const auto self = shared_from_this();  // the owner may hold the last other reference
+  const auto self = shared_from_this();  // on_closed may release the owner's reference
   callbacks_.on_closed(self);
-  timer_.cancel();
+  step_timer_.cancel();
 }
 
 }  // namespace meadowyard::operations
--- a/src/operations/admin_session.hpp
+++ b/src/operations/admin_session.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One connection of an operator or an operator's tool.
+/// One connection from an operator or an operator's tool.
 #ifndef MEADOWYARD_OPERATIONS_ADMIN_SESSION_HPP_
 #define MEADOWYARD_OPERATIONS_ADMIN_SESSION_HPP_
 
@@ -19,47 +19,49 @@
 
 namespace meadowyard::operations {
 
-/// Reads one call, answers it and closes the connection. Whatever the caller does or fails to do, a timer
-/// ends each step. Created by std::make_shared; it keeps itself alive while an operation is pending.
+/// Reads one request, answers it and closes the connection. Each step has a timeout, so that an unresponsive
+/// caller can't hold the connection open. Must be created with std::make_shared; keeps itself alive while an
+/// operation is pending.
 class AdminSession : public std::enable_shared_from_this<AdminSession> {
  public:
   struct Timeouts {
-    Millis request = 2000;  ///< To receive the request, and again to send the response.
-    Millis linger = 300;    ///< For the caller to close the connection once it was answered.
+    Millis request = 2000;  ///< For receiving the request, and separately for sending the response.
+    Millis linger = 300;    ///< For the caller to close the connection after the response.
   };
   struct Callbacks {
     /// Answers a complete request.
     std::function<HttpResponse(const HttpRequest&)> on_request;
-    /// The socket has just been closed; called once.
+    /// Called once, just after the socket was closed.
     std::function<void(const std::shared_ptr<AdminSession>&)> on_closed;
   };
 
   AdminSession(boost::asio::ip::tcp::socket socket, Timeouts timeouts, Callbacks callbacks);
 
-  /// Begins to read. Call it once.
+  /// Starts to read the request. Must be called once.
   void Start();
-  /// Closes the connection, whether or not the call was answered.
+  /// Closes the connection, whether or not the request was answered.
   void Close();
 
  private:
-  static constexpr std::size_t kMaxRequestSize = 4096;  // of the head, and again of the body, which is unused
-  static constexpr std::size_t kDiscardSize = 1024;
+  // Limit for the header, and separately for the body, whose content is ignored.
+  static constexpr std::size_t kMaxHeaderOrBodyBytes = 4096;
+  static constexpr std::size_t kDiscardBufferBytes = 1024;
 
-  void OnRead(boost::system::error_code ec);
-  void Reply(HttpResponse response);
-  void OnReplied(boost::system::error_code ec);
+  void OnRequestRead(boost::system::error_code ec);
+  void SendResponse(HttpResponse response);
+  void OnResponseSent(boost::system::error_code ec);
   void DiscardInput();
   void StartTimer(Millis timeout);
   void OnTimeout();
 
   boost::asio::ip::tcp::socket socket_;
-  boost::asio::steady_timer timer_;
+  boost::asio::steady_timer step_timer_;
   const Timeouts timeouts_;
   const Callbacks callbacks_;
-  boost::beast::flat_buffer buffer_{2 * kMaxRequestSize};
+  boost::beast::flat_buffer buffer_{2 * kMaxHeaderOrBodyBytes};
   boost::beast::http::request_parser<boost::beast::http::string_body> parser_;
   HttpResponse response_;
-  std::array<char, kDiscardSize> discarded_ = {};
+  std::array<char, kDiscardBufferBytes> discard_buffer_ = {};
   bool answered_ = false;
   bool closed_ = false;
 };
--- a/src/operations/descriptor.hpp
+++ b/src/operations/descriptor.hpp
@@ -7,11 +7,11 @@
 
 namespace meadowyard::operations {
 
-/// An open file descriptor, closed with its owner; empty once it was moved from or released.
+/// Owns an open file descriptor and closes it on destruction. Empty after a move from it or release().
 class Descriptor {
  public:
   Descriptor() = default;
-  /// Takes ownership of `fd`; a negative value makes an empty one.
+  /// Takes ownership of `fd`; a negative value means empty.
   explicit Descriptor(int fd) : fd_(fd) {}
   Descriptor(Descriptor&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
   Descriptor& operator=(Descriptor&& other) noexcept {
@@ -23,9 +23,9 @@
   ~Descriptor();
 
   explicit operator bool() const { return fd_ >= 0; }
-  /// The descriptor, which stays owned; -1 if empty.
+  /// The descriptor, without a transfer of ownership; -1 if empty.
   [[nodiscard]] int get() const { return fd_; }
-  /// Hands the descriptor over to the caller; -1 if empty.
+  /// Transfers ownership of the descriptor to the caller; -1 if empty.
   [[nodiscard]] int release() { return std::exchange(fd_, -1); }
 
  private:
--- a/src/operations/handover_channel.cpp
+++ b/src/operations/handover_channel.cpp
@@ -18,12 +18,12 @@
 
 using DescriptorPair = std::array<int, 2>;
 
-/// Room for the control message (cmsg(3)) that carries up to two descriptors.
+/// Buffer for the control message (cmsg(3)) that carries up to two descriptors.
 struct ControlBuffer {
   alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(DescriptorPair))> bytes = {};
 };
 
-// Adds the descriptors of a message to the header that it is sent by.
+// Adds the message's descriptors to `header` as ancillary data, stored in `control`.
 void AttachDescriptors(msghdr& header, ControlBuffer& control, const OutgoingMessage& message) {
   if (message.descriptor < 0) return;
   const DescriptorPair descriptors = {message.descriptor, message.second_descriptor};
@@ -37,7 +37,7 @@
   std::memcpy(CMSG_DATA(control_header), descriptors.data(), size);
 }
 
-// Takes ownership of the descriptors that came with a message.
+// Moves the received descriptors into `message`, which owns them.
 void DetachDescriptors(const msghdr& header, IncomingMessage& message) {
   const cmsghdr* const control_header = CMSG_FIRSTHDR(&header);
   if (control_header == nullptr || control_header->cmsg_type != SCM_RIGHTS) return;
@@ -51,24 +51,24 @@
 }  // namespace
 
 bool SendMessage(int socket, const OutgoingMessage& message) {
-  char letter = static_cast<char>(message.kind);
-  // sendmsg only reads the text, though iovec has no pointer to const.
-  std::array<iovec, 2> parts = {
-      {{&letter, sizeof letter}, {const_cast<char*>(message.text.data()), message.text.size()}}};
+  char kind_letter = static_cast<char>(message.kind);
+  // iovec has no pointer to const, but sendmsg only reads the text.
+  std::array<iovec, 2> segments = {
+      {{&kind_letter, sizeof kind_letter}, {const_cast<char*>(message.text.data()), message.text.size()}}};
   msghdr header{};
-  header.msg_iov = parts.data();
-  header.msg_iovlen = parts.size();
+  header.msg_iov = segments.data();
+  header.msg_iovlen = segments.size();
   ControlBuffer control;
   AttachDescriptors(header, control, message);
   return ::sendmsg(socket, &header, MSG_NOSIGNAL | MSG_DONTWAIT) >= 0;
 }
 
 ReceiveResult ReceiveMessage(int socket) {
-  std::vector<char> packet(1 + kMaxMessageText);
-  iovec part = {packet.data(), packet.size()};
+  std::vector<char> packet(1 + kMaxMessageTextBytes);
+  iovec segment = {packet.data(), packet.size()};
   ControlBuffer control;
   msghdr header{};
-  header.msg_iov = &part;
+  header.msg_iov = &segment;
   header.msg_iovlen = 1;
   header.msg_control = control.bytes.data();
   header.msg_controllen = control.bytes.size();
@@ -101,14 +101,14 @@
       if (result.status == ReceiveStatus::kNothingPending) return Wait();
       if (result.status == ReceiveStatus::kClosed) return Close();
       callbacks.on_message(std::move(result.message));
-      if (!socket.is_open()) return;  // the channel was destroyed meanwhile
+      if (!socket.is_open()) return;  // the callback has destroyed the channel
     }
   }
 
   void Close() {
     error_code ignored;
     socket.close(ignored);
-    const auto on_closed = callbacks.on_closed;  // a copy, for it may destroy the channel
+    const auto on_closed = callbacks.on_closed;  // a copy, since the call may destroy the channel
     on_closed();
   }
 
--- a/src/operations/handover_channel.hpp
+++ b/src/operations/handover_channel.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// The channel between two processes of one gateway during a hot restart: messages, with file descriptors,
-/// over a Unix socket that keeps message boundaries. On the socket a message is one packet: the letter of its
-/// kind, then its text; descriptors are passed beside it. The two processes may run different versions of the
-/// program, so letters and texts never change.
+/// The channel between two processes of one gateway during a hot restart. It carries messages and file
+/// descriptors over a Unix socket that preserves message boundaries. A message is one packet: one letter for
+/// its kind, then its text, with the descriptors as ancillary data (SCM_RIGHTS). The two processes may run
+/// different versions of the program, so the letters and the text formats must never change.
 #ifndef MEADOWYARD_OPERATIONS_HANDOVER_CHANNEL_HPP_
 #define MEADOWYARD_OPERATIONS_HANDOVER_CHANNEL_HPP_
 
@@ -17,57 +17,58 @@
 
 namespace meadowyard::operations {
 
-/// What a message says. The values are the letters on the socket.
+/// The kind of a message. The values are the letters on the socket.
 enum class HandoverMessageKind : char {
-  /// To the successor: a piece of the state; the first one has the clients' listening socket.
+  /// To the successor: a part of the state; the first part carries the clients' listening socket.
   kState = 'S',
   /// To the successor: a listening socket for tunnels; the text names the listener.
   kTunnelListener = 'L',
   /// To the successor: the state and the listening sockets are complete.
   kStateComplete = 'E',
-  /// To the predecessor: the successor serves.
+  /// To the predecessor: the successor has started to serve.
   kSuccessorReady = 'R',
-  /// To the successor: a client's connection; the text is what was read of its next request.
+  /// To the successor: a client's connection; the text is the part of its next request already read.
   kClientConnection = 'C',
-  /// To the successor: an idle connection to a host; the text is a HostConnectionText.
+  /// To the successor: an idle connection to a host; for the text see FormatHostConnection.
   kHostConnection = 'H',
   /// To the successor: an open tunnel, with the client's descriptor and the host's.
   kTunnel = 'T',
-  /// To the successor: how many descriptors the predecessor still holds, as a decimal number.
+  /// To the successor: the number of descriptors that the predecessor still has open, in decimal.
   kDescriptorsHeld = 'D',
-  /// Both ways: an operator has put the host that the text names into maintenance.
+  /// In both directions: an operator has started the maintenance of the host whose id is the text.
   kMaintenanceStarted = 'O',
-  /// Both ways: an operator has ended the maintenance of the host that the text names.
+  /// In both directions: an operator has ended the maintenance of the host whose id is the text.
   kMaintenanceEnded = 'B',
 };
 
-/// Longest text of a message, in bytes; the state is sent in pieces of this size. A tunnel's text has what is
-/// buffered in both directions, 32 KiB each, and some fields.
-inline constexpr std::size_t kMaxMessageText = 72 * 1024;
+/// Longest text of a message, in bytes; a longer state is split into messages of this size. A tunnel's text
+/// contains the data buffered in both directions, up to 32 KiB each, and some fields.
+inline constexpr std::size_t kMaxMessageTextBytes = 72 * 1024;
 
-/// A message to be sent. It owns nothing: descriptors are duplicated by the kernel and stay with the sender.
+/// A message to be sent. It owns neither text nor descriptors: the kernel duplicates the descriptors, and the
+/// sender keeps its own.
 struct OutgoingMessage {
   HandoverMessageKind kind = HandoverMessageKind::kStateComplete;
   std::string_view text = {};
   int descriptor = -1;         ///< -1: none.
-  int second_descriptor = -1;  ///< Only beside a first one; -1: none.
+  int second_descriptor = -1;  ///< Only together with `descriptor`; -1: none.
 };
 
-/// A message that was received, with the descriptors that came with it.
+/// A received message, which owns the descriptors passed with it.
 struct IncomingMessage {
   HandoverMessageKind kind = HandoverMessageKind::kStateComplete;
   std::string text;
-  Descriptor descriptor;         ///< Empty if none came.
-  Descriptor second_descriptor;  ///< Empty if none came.
+  Descriptor descriptor;         ///< Empty if none was passed.
+  Descriptor second_descriptor;  ///< Empty if none was passed.
 };
 
-/// Sends without waiting; false if the message can't be sent now.
+/// Sends without blocking; false if the message can't be sent now.
 [[nodiscard]] bool SendMessage(int socket, const OutgoingMessage& message);
 
-/// What came of a call to ReceiveMessage.
+/// The outcome of a call to ReceiveMessage.
 enum class ReceiveStatus {
   kReceived,
-  kNothingPending,  ///< No message is there yet.
+  kNothingPending,  ///< No message has arrived yet.
   kClosed,          ///< The other process has closed the channel, or it failed.
 };
 
@@ -77,33 +78,34 @@
   IncomingMessage message;  ///< Valid only with kReceived.
 };
 
-/// Receives the next message without waiting.
+/// Receives the next message without blocking.
 [[nodiscard]] ReceiveResult ReceiveMessage(int socket);
 
-/// One end of the channel, on an event loop. The loop's thread calls it and is called back.
+/// One end of the channel. It must be used on the event loop's thread, which also runs the callbacks.
 class HandoverChannel {
  public:
-  /// What the owner is notified of. The channel may be destroyed from within either function.
+  /// The channel may be destroyed from within either callback.
   struct Callbacks {
     std::function<void(IncomingMessage)> on_message;
-    std::function<void()> on_closed;  ///< At most once; nothing else follows.
+    std::function<void()> on_closed;  ///< Called at most once, as the last callback.
   };
 
   /// Takes ownership of a connected socket.
   HandoverChannel(boost::asio::io_context& io, Descriptor socket);
   HandoverChannel(const HandoverChannel&) = delete;
   HandoverChannel& operator=(const HandoverChannel&) = delete;
-  /// Closes the socket; nothing is called back any more.
+  /// Closes the socket; no callback is called afterwards.
   ~HandoverChannel();
 
-  /// Begins to receive. Call it once.
+  /// Starts to receive. Must be called once.
   void Start(Callbacks callbacks);
-  /// Sends without waiting; false if the message can't be sent now or the channel is closed.
+  /// Sends without blocking; false if the message can't be sent now or the channel is closed.
   bool Send(const OutgoingMessage& message);
 
  private:
   struct State;
-  const std::shared_ptr<State> state_;  // outlives the channel until its last wait has ended
+  // Shared with the pending wait, which may end after the channel's destruction.
+  const std::shared_ptr<State> state_;
 };
 
 }  // namespace meadowyard::operations
--- a/src/operations/handover_messages.cpp
+++ b/src/operations/handover_messages.cpp
@@ -21,8 +21,8 @@
 std::string FormatDescriptorCount(std::size_t count) { return std::to_string(count); }
 
 std::size_t ParseDescriptorCount(const std::string& text) {
-  constexpr int kDecimal = 10;
-  return std::strtoul(text.c_str(), nullptr, kDecimal);
+  constexpr int kDecimalBase = 10;
+  return std::strtoul(text.c_str(), nullptr, kDecimalBase);
 }
 
 OutgoingMessage ToMessage(const MaintenanceChange& change) {
--- a/src/operations/handover_state.hpp
+++ b/src/operations/handover_state.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a process hands over to its successor, and its stored form: JSON whose names are shared with other
-/// versions of the program and never change.
+/// The state that a process hands over to its successor, and its serialised form: JSON. Other versions of the
+/// program read and write the same field names, so these must never change.
 #ifndef MEADOWYARD_OPERATIONS_HANDOVER_STATE_HPP_
 #define MEADOWYARD_OPERATIONS_HANDOVER_STATE_HPP_
 
@@ -13,20 +13,21 @@
 
 namespace meadowyard::operations {
 
-/// What a successor has to know to go on where this process stands.
+/// The state from which a successor continues this process's work.
 struct HandoverState {
-  std::string configuration;      ///< The configuration in force, as JSON text.
-  std::string discovery_address;  ///< Of service discovery, "ADDRESS:PORT".
-  discovery::EndpointList hosts;  ///< As service discovery described them.
+  std::string configuration;      ///< The configuration in effect, as JSON text.
+  std::string discovery_address;  ///< Address of service discovery, "ADDRESS:PORT".
+  discovery::EndpointList hosts;  ///< As received from service discovery.
   bool revision_known = false;    ///< Whether `hosts.revision` is valid.
   LearnedState learned;
-  std::size_t descriptors = 0;     ///< Held by the process.
-  std::string edge_configuration;  ///< The text of the operators' file in force; empty: none.
+  std::size_t descriptors = 0;     ///< The number of file descriptors that the process has open.
+  std::string edge_configuration;  ///< Text of the operators' file in effect; empty if there is none.
 };
 
-/// The stored form.
+/// Formats the state as JSON text.
 std::string SerializeHandoverState(const HandoverState& state);
-/// Nothing if the text is malformed or lacks a field. Fields of later versions are ignored.
+/// std::nullopt if the text is malformed or lacks a field; only "edge" may be missing. Unknown fields, as
+/// sent by later versions, are ignored.
 [[nodiscard]] std::optional<HandoverState> ParseHandoverState(const std::string& text);
 
 }  // namespace meadowyard::operations
--- a/src/operations/hot_restart_coordinator.cpp
+++ b/src/operations/hot_restart_coordinator.cpp
@@ -13,7 +13,7 @@
 using boost::system::error_code;
 using Kind = HandoverMessageKind;
 
-constexpr Millis kDescriptorCountInterval = 100;
+constexpr Millis kDescriptorCountInterval = 100;  // between reports of open descriptors to the successor
 
 }  // namespace
 
@@ -62,7 +62,7 @@
         SendToSuccessor(ToMessage(*change));
       }
       return;
-    default: return;  // of a later version
+    default: return;  // unknown kind, sent by a later version
   }
 }
 
@@ -73,7 +73,8 @@
 
 // ---- The successor -------------------------------------------------------------------------------
 
-// One at a time: another process that connects meanwhile gets nothing and starts without a predecessor.
+// Accepts one successor at a time: another process that connects meanwhile is disconnected, and starts
+// without a predecessor.
 void HotRestartCoordinator::OnSuccessorConnected(Descriptor connection) {
   if (successor_) return;
   if (!SendState(connection.get())) {
@@ -87,10 +88,10 @@
 
 bool HotRestartCoordinator::SendState(int connection) {
   const std::string state = delegate_.SerializeState();
-  int client_listener = delegate_.ClientListener();  // with the first piece only
-  for (std::size_t sent = 0; sent < state.size(); sent += kMaxMessageText) {
-    const std::string_view piece = std::string_view(state).substr(sent, kMaxMessageText);
-    if (!SendMessage(connection, {.kind = Kind::kState, .text = piece, .descriptor = client_listener})) {
+  int client_listener = delegate_.ClientListener();  // sent with the first part only
+  for (std::size_t sent = 0; sent < state.size(); sent += kMaxMessageTextBytes) {
+    const std::string_view part = std::string_view(state).substr(sent, kMaxMessageTextBytes);
+    if (!SendMessage(connection, {.kind = Kind::kState, .text = part, .descriptor = client_listener})) {
       return false;
     }
     client_listener = -1;
@@ -106,7 +107,7 @@
 void HotRestartCoordinator::OnSuccessorMessage(const IncomingMessage& message) {
   if (message.kind == Kind::kSuccessorReady) return OnSuccessorReady();
   const auto change = ToMaintenanceChange(message);
-  if (!change) return;  // of a later version
+  if (!change) return;  // unknown kind, sent by a later version
   delegate_.OnMaintenanceChanged(*change);
   if (predecessor_) predecessor_->Send(ToMessage(*change));
 }
@@ -125,7 +126,7 @@
   log::Write(log::Level::kWarn, "hot_restart_abandoned", {{"reason", "successor_ended"}});
   descriptor_count_timer_.cancel();
   delegate_.OnSuccessorLost();
-  // If it can't listen any more, the next version starts without a predecessor.
+  // If listening fails, the next process to start has no predecessor.
   static_cast<void>(listener_.Listen());
 }
 
@@ -144,7 +145,7 @@
 }
 
 bool HotRestartCoordinator::PassClientConnection(std::string_view unread, int connection) {
-  return unread.size() <= kMaxMessageText &&
+  return unread.size() <= kMaxMessageTextBytes &&
          SendToSuccessor({.kind = Kind::kClientConnection, .text = unread, .descriptor = connection});
 }
 
@@ -154,7 +155,7 @@
 }
 
 bool HotRestartCoordinator::PassTunnel(std::string_view state, int client, int host) {
-  return state.size() <= kMaxMessageText &&
+  return state.size() <= kMaxMessageTextBytes &&
          SendToSuccessor(
              {.kind = Kind::kTunnel, .text = state, .descriptor = client, .second_descriptor = host});
 }
--- a/src/operations/hot_restart_coordinator.hpp
+++ b/src/operations/hot_restart_coordinator.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A gateway's part in a hot restart, in which a new process takes over from the one that serves without
-/// losing a request. Each process may have a predecessor, from which it took over, and a successor.
+/// One process's side of a hot restart, in which a new process of the gateway takes over from the serving one
+/// without losing a request. A process may have a predecessor, from which it takes over, and a successor.
 #ifndef MEADOWYARD_OPERATIONS_HOT_RESTART_COORDINATOR_HPP_
 #define MEADOWYARD_OPERATIONS_HOT_RESTART_COORDINATOR_HPP_
 
@@ -19,37 +19,38 @@
 
 namespace meadowyard::operations {
 
-/// Speaks with the predecessor and the successor, and says who serves. The course of a hot restart:
+/// Exchanges messages with the predecessor and the successor, and tracks which process serves. The steps of a
+/// hot restart:
 ///
-///  1. The successor connects and is sent the state and the listening sockets. This process goes on serving.
-///  2. The successor says that it serves. This process passes on the connections that are idle and finishes
-///  the
-///     requests that are open.
-///  3. If the successor ends before this process does, this process serves again.
+///  1. The successor connects and receives the state and the listening sockets. This process keeps serving.
+///  2. The successor reports that it serves. This process passes idle connections to it and finishes the open
+///     requests.
+///  3. If the successor exits before this process does, this process serves again.
 ///
-/// While both run, each change to a host's maintenance is replicated to the other.
+/// While both processes run, each replicates changes to the maintenance of hosts to the other.
 class HotRestartCoordinator {
  public:
-  /// `path` is where a successor finds this process (see HandoverPath); empty: it can't have one.
-  /// `predecessor` is PredecessorState::channel, or empty. The delegate must outlive the coordinator.
+  /// `path` is the socket to which a successor connects (see config::HandoverSocketPath); if it is empty, no
+  /// successor can connect. `predecessor` is PredecessorState::channel, or empty. The delegate must outlive
+  /// the coordinator.
   HotRestartCoordinator(boost::asio::io_context& io, const std::string& path, Descriptor predecessor,
                         HotRestartDelegate& delegate);
 
-  /// This process serves: notifies the predecessor, and listens for a successor. Calls after the first one do
-  /// nothing.
+  /// Notifies the predecessor that this process serves, and listens for a successor. Further calls have no
+  /// effect.
   void StartServing();
-  /// Whether the successor serves in this process's place.
+  /// Whether the successor serves instead of this process.
   [[nodiscard]] bool successor_serving() const { return successor_serving_; }
 
-  /// Passes a client's connection to the successor; false if it can't be passed now. The descriptor stays
-  /// with the caller.
+  /// Passes a client's connection to the successor, with the part of its next request already read; false if
+  /// it can't be passed now. The caller keeps ownership of its descriptor.
   [[nodiscard]] bool PassClientConnection(std::string_view unread, int connection);
-  /// The same for an idle connection to a host.
+  /// Passes an idle connection to a host, likewise.
   [[nodiscard]] bool PassHostConnection(const HostConnectionInfo& info, int connection);
-  /// The same for an open tunnel; `state` is for HotRestartDelegate::AdoptTunnel.
+  /// Passes an open tunnel, likewise; `state` is the argument of HotRestartDelegate::AdoptTunnel.
   [[nodiscard]] bool PassTunnel(std::string_view state, int client, int host);
 
-  /// Sends a change that an operator made at this process to the predecessor and the successor.
+  /// Sends a change that an operator made in this process to the predecessor and the successor.
   void ReplicateMaintenance(const MaintenanceChange& change);
 
  private:
@@ -65,8 +66,8 @@
 
   boost::asio::io_context& io_;
   HotRestartDelegate& delegate_;
-  std::unique_ptr<HandoverChannel> predecessor_;  // null: none, or it has ended
-  std::unique_ptr<HandoverChannel> successor_;    // null: none, or it has ended
+  std::unique_ptr<HandoverChannel> predecessor_;  // null: none, or it has exited
+  std::unique_ptr<HandoverChannel> successor_;    // null: none, or it has exited
   SuccessorListener listener_;
   const bool may_have_successor_;
   boost::asio::steady_timer descriptor_count_timer_;
--- a/src/operations/hot_restart_delegate.hpp
+++ b/src/operations/hot_restart_delegate.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What HotRestartCoordinator needs of the gateway around it.
+/// The interface through which HotRestartCoordinator accesses the gateway.
 #ifndef MEADOWYARD_OPERATIONS_HOT_RESTART_DELEGATE_HPP_
 #define MEADOWYARD_OPERATIONS_HOT_RESTART_DELEGATE_HPP_
 
@@ -14,13 +14,13 @@
 
 namespace meadowyard::operations {
 
-/// A listening socket for tunnels. The descriptor stays with the gateway.
+/// A listening socket for tunnels. The gateway owns the descriptor.
 struct TunnelListener {
   std::string name;
   int descriptor = -1;
 };
 
-/// The gateway's side of a hot restart. All calls come on the event loop's thread.
+/// Implemented by the gateway. All functions are called on the event loop's thread.
 class HotRestartDelegate {
  public:
   HotRestartDelegate() = default;
@@ -30,32 +30,35 @@
 
   // ---- This process is the predecessor ----
 
-  /// The state that a successor starts from; see SerializeHandoverState.
+  /// The state that a successor continues from; see SerializeHandoverState.
   virtual std::string SerializeState() = 0;
-  /// The clients' listening socket, which stays with the gateway.
+  /// The clients' listening socket, which the gateway owns.
   virtual int ClientListener() = 0;
   virtual std::vector<TunnelListener> TunnelListeners() = 0;
-  /// How many descriptors this process holds.
+  /// The number of file descriptors that this process has open.
   virtual std::size_t CountDescriptors() = 0;
-  /// The successor serves: pass on whatever is idle. HotRestartCoordinator::successor_serving() is true.
+  /// The successor has started to serve: the gateway passes its idle connections to it.
+  /// HotRestartCoordinator::successor_serving() is already true.
   virtual void OnSuccessorServing() = 0;
-  /// The successor that served has ended: this process serves again.
+  /// The serving successor has exited: this process serves again.
   virtual void OnSuccessorLost() = 0;
 
   // ---- This process is the successor ----
 
-  /// The predecessor holds this many descriptors; 0 once it has ended.
+  /// The predecessor has `count` file descriptors open; 0 once it has exited.
   virtual void OnPredecessorDescriptors(std::size_t count) = 0;
-  /// Takes over a client's connection. `unread` is what the predecessor has read of its next request.
+  /// Takes over a client's connection. `unread` is the part of its next request that the predecessor
+  /// has already read.
   virtual void AdoptClientConnection(std::string_view unread, Descriptor connection) = 0;
   /// Takes over an idle connection to a host.
   virtual void AdoptHostConnection(const HostConnectionInfo& info, Descriptor connection) = 0;
-  /// Takes over an open tunnel. `state` is what the predecessor's tunnel server said of it.
+  /// Takes over an open tunnel. `state` is the text passed to the predecessor's
+  /// HotRestartCoordinator::PassTunnel.
   virtual void AdoptTunnel(std::string_view state, Descriptor client, Descriptor host) = 0;
 
   // ---- Both ----
 
-  /// An operator has changed the maintenance of a host at the other process.
+  /// An operator has started or ended the maintenance of a host in the other process.
   virtual void OnMaintenanceChanged(const MaintenanceChange& change) = 0;
 };
 
--- a/src/operations/maintenance_change.hpp
+++ b/src/operations/maintenance_change.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What operators decide about a host.
+/// An operator's change to the maintenance of a host.
 #ifndef MEADOWYARD_OPERATIONS_MAINTENANCE_CHANGE_HPP_
 #define MEADOWYARD_OPERATIONS_MAINTENANCE_CHANGE_HPP_
 
@@ -7,7 +7,7 @@
 
 namespace meadowyard::operations {
 
-/// An operator has put a host into maintenance or ended it.
+/// An operator has started or ended a host's maintenance. No requests are sent to a host in maintenance.
 struct MaintenanceChange {
   std::string host_id;
   bool in_maintenance = false;
--- a/src/operations/predecessor_state.cpp
+++ b/src/operations/predecessor_state.cpp
@@ -12,15 +12,17 @@
 namespace meadowyard::operations {
 namespace {
 
-constexpr Millis kStateTimeout = 3000;  // the platform gives a new process 6 s until it has to serve
-constexpr Millis kMinPoll = 1;          // poll(2) knows only milliseconds
+// Half of the 6 s within which the platform requires a new process to serve.
+constexpr Millis kStateTimeout = 3000;
+// poll(2) takes integral milliseconds: a shorter wait would be truncated to 0 and not block at all.
+constexpr Millis kMinPollTimeout = 1;
 
 void WaitUntilReadable(int socket, Millis deadline) {
-  pollfd request = {socket, POLLIN, 0};
-  ::poll(&request, 1, static_cast<int>(std::max(kMinPoll, deadline - core::Now())));
+  pollfd poll_entry = {socket, POLLIN, 0};
+  ::poll(&poll_entry, 1, static_cast<int>(std::max(kMinPollTimeout, deadline - core::Now())));
 }
 
-// Adds what a message carries to what has been received so far.
+// Adds a message's text and descriptor to the state received so far.
 void AddMessage(IncomingMessage message, PredecessorState& received) {
   if (message.kind == HandoverMessageKind::kTunnelListener) {
     received.tunnel_listeners[message.text] = std::move(message.descriptor);
@@ -30,7 +32,7 @@
   received.state += message.text;
 }
 
-// Receives until the state is complete; false if the channel is closed or the time is up before.
+// Receives messages until the state is complete; false if the channel closes or the timeout expires first.
 bool ReceiveState(int channel, PredecessorState& received) {
   const Millis deadline = core::Now() + kStateTimeout;
   while (core::Now() < deadline) {
--- a/src/operations/predecessor_state.hpp
+++ b/src/operations/predecessor_state.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a process that starts receives from its predecessor: the process of the same gateway, perhaps of
-/// another version, that serves already.
+/// The state that a starting process receives from its predecessor: the serving process of the same gateway,
+/// which may run another version of the program.
 #ifndef MEADOWYARD_OPERATIONS_PREDECESSOR_STATE_HPP_
 #define MEADOWYARD_OPERATIONS_PREDECESSOR_STATE_HPP_
 
@@ -12,16 +12,17 @@
 
 namespace meadowyard::operations {
 
-/// The predecessor's state, its listening sockets, and the channel over which the hot restart goes on.
+/// The predecessor's state, its listening sockets, and the channel for the rest of the hot restart.
 struct PredecessorState {
-  std::string state;  ///< See ParseHandoverState.
+  std::string state;  ///< JSON text; see ParseHandoverState.
   Descriptor client_listener;
   std::map<std::string, Descriptor> tunnel_listeners;  ///< By the listener's name.
   Descriptor channel;                                  ///< For HotRestartCoordinator.
 };
 
-/// Requests the state of the process that listens at `path` (see HandoverPath). Blocks for up to three
-/// seconds. Nothing if `path` is empty, no process of this user listens there, or it doesn't answer in time.
+/// Requests the state of the process that listens at `path` (see config::HandoverSocketPath). Blocks for up
+/// to three seconds. std::nullopt if `path` is empty, no process of this user listens there, or the state is
+/// not complete in time.
 [[nodiscard]] std::optional<PredecessorState> RequestPredecessorState(const std::string& path);
 
 }  // namespace meadowyard::operations
--- a/src/operations/query_string.cpp
+++ b/src/operations/query_string.cpp
@@ -8,22 +8,22 @@
 namespace meadowyard::operations {
 
 std::optional<std::string> PercentDecode(std::string_view text) {
-  constexpr std::size_t kHexDigits = 2;
-  constexpr int kHexadecimal = 16;
+  constexpr std::size_t kHexDigitsPerByte = 2;
+  constexpr int kHexadecimalBase = 16;
   std::string decoded;
   for (std::size_t i = 0; i < text.size(); ++i) {
     if (text[i] != '%') {
       decoded += text[i] == '+' ? ' ' : text[i];
       continue;
     }
-    if (i + kHexDigits >= text.size()) return std::nullopt;
+    if (i + kHexDigitsPerByte >= text.size()) return std::nullopt;
     const char* const first = text.data() + i + 1;
-    const char* const last = first + kHexDigits;
+    const char* const last = first + kHexDigitsPerByte;
     unsigned value = 0;
-    const auto [end, error] = std::from_chars(first, last, value, kHexadecimal);
+    const auto [end, error] = std::from_chars(first, last, value, kHexadecimalBase);
     if (error != std::errc() || end != last) return std::nullopt;
     decoded += static_cast<char>(value);
-    i += kHexDigits;
+    i += kHexDigitsPerByte;
   }
   return decoded;
 }
--- a/src/operations/query_string.hpp
+++ b/src/operations/query_string.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// The query of a request target (RFC 3986, section 3.4) with parameters as HTML forms write them.
+/// Parsing of a request target's query component (RFC 3986, section 3.4) in the format
+/// application/x-www-form-urlencoded.
 #ifndef MEADOWYARD_OPERATIONS_QUERY_STRING_HPP_
 #define MEADOWYARD_OPERATIONS_QUERY_STRING_HPP_
 
@@ -9,10 +10,10 @@
 
 namespace meadowyard::operations {
 
-/// Decodes "%XX" and "+"; nothing if the text is malformed.
+/// Decodes "%XX", and "+" to a space; std::nullopt if the text is malformed.
 [[nodiscard]] std::optional<std::string> PercentDecode(std::string_view text);
 
-/// The decoded value of the only parameter `name` in "NAME=VALUE&..."; nothing if it is missing, empty,
+/// The decoded value of the parameter `name` in "NAME=VALUE&..."; std::nullopt if it is missing, empty,
 /// malformed or given more than once.
 [[nodiscard]] std::optional<std::string> FindQueryParameter(std::string_view query, std::string_view name);
 
--- a/src/operations/settings_reloader.cpp
+++ b/src/operations/settings_reloader.cpp
@@ -5,15 +5,17 @@
 
 namespace meadowyard::operations {
 
-SettingsReloader::SettingsReloader(VariableLookup variable, const config::Configuration& in_force,
-                                   Callbacks callbacks)
-    : variable_(std::move(variable)), callbacks_(std::move(callbacks)), file_in_force_(in_force.document) {}
+SettingsReloader::SettingsReloader(VariableLookup lookup_variable,
+                                   const config::Configuration& initial_configuration, Callbacks callbacks)
+    : lookup_variable_(std::move(lookup_variable)),
+      callbacks_(std::move(callbacks)),
+      current_file_(initial_configuration.document) {}
 
 void SettingsReloader::Reload() {
   try {
-    const config::Configuration config = config::LoadConfiguration(variable_, file_in_force_.get());
+    const config::Configuration config = config::LoadConfiguration(lookup_variable_, current_file_.get());
     callbacks_.on_accepted(config);
-    file_in_force_ = config.document;
+    current_file_ = config.document;
   } catch (const std::exception& error) {
     callbacks_.on_rejected(error.what());
   }
--- a/src/operations/settings_reloader.hpp
+++ b/src/operations/settings_reloader.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Settings that change while the gateway serves.
+/// Reloading of the settings while the gateway serves.
 #ifndef MEADOWYARD_OPERATIONS_SETTINGS_RELOADER_HPP_
 #define MEADOWYARD_OPERATIONS_SETTINGS_RELOADER_HPP_
 
@@ -12,29 +12,30 @@
 
 namespace meadowyard::operations {
 
-/// Reads the configuration file again on request (SIGHUP). A file that can't work in any part is
-/// rejected and changes nothing.
+/// Reads the configuration file again on request (SIGHUP). A file with any invalid part is rejected,
+/// and the configuration in effect stays unchanged.
 class SettingsReloader {
  public:
   struct Callbacks {
-    /// Applies a configuration that was read. If it throws a std::exception, the configuration is rejected.
+    /// Applies a valid configuration. If it throws a std::exception, the configuration is rejected.
     std::function<void(const config::Configuration&)> on_accepted;
-    /// `reason` is one line that names the field.
+    /// `reason` is one line that names the invalid field.
     std::function<void(const std::string& reason)> on_rejected;
   };
   /// Looks up an environment variable; null if it is not set.
   using VariableLookup = std::function<const char*(const char* name)>;
 
-  /// `in_force` is the configuration that the gateway was started with.
-  SettingsReloader(VariableLookup variable, const config::Configuration& in_force, Callbacks callbacks);
+  /// `initial_configuration` is the configuration that the gateway was started with.
+  SettingsReloader(VariableLookup lookup_variable, const config::Configuration& initial_configuration,
+                   Callbacks callbacks);
 
   /// Reads the file and calls exactly one of the callbacks.
   void Reload();
 
  private:
-  const VariableLookup variable_;
+  const VariableLookup lookup_variable_;
   const Callbacks callbacks_;
-  std::shared_ptr<const nlohmann::json> file_in_force_;
+  std::shared_ptr<const nlohmann::json> current_file_;
 };
 
 }  // namespace meadowyard::operations
--- a/src/operations/stored_record.hpp
+++ b/src/operations/stored_record.hpp
@@ -1,7 +1,7 @@
 /// @file
-/// Records in their stored JSON form: a table for each record names its fields as they are stored. These
-/// names are part of the format that two versions of the program share, so they stand apart from the names of
-/// the C++ members, which may change.
+/// Conversion of records to and from JSON: a table for each record type maps its JSON field names to its C++
+/// members. Different versions of the program exchange this format, so the JSON names must never change; the
+/// table keeps them independent of the members' names, which may change.
 #ifndef MEADOWYARD_OPERATIONS_STORED_RECORD_HPP_
 #define MEADOWYARD_OPERATIONS_STORED_RECORD_HPP_
 
@@ -10,20 +10,19 @@
 
 namespace meadowyard::operations {
 
-/// One field of a record: the name in the stored form, which never changes, and the member that holds the
-/// value.
+/// One field of a record: its JSON name, which must never change, and the member that holds its value.
 template <typename Record, typename Value>
 struct StoredField {
   const char* name;
   Value Record::*member;
 };
 
-/// The table of a record: specialise it with `static constexpr std::tuple kFields`, a StoredField for each
-/// field.
+/// The field table of a record type. Specialise it with `static constexpr std::tuple kFields`, which has one
+/// StoredField for each field.
 template <typename Record>
 struct StoredForm;
 
-/// A type that StoredForm is specialised for.
+/// A type for which StoredForm is specialised.
 template <typename Record>
 concept StoredRecord = requires {
   StoredForm<Record>::kFields;
@@ -32,7 +31,7 @@
 }  // namespace meadowyard::operations
 
 /// Converts every StoredRecord to and from JSON. Reading throws nlohmann::json::exception if a field is
-/// missing or of another type; fields that the table doesn't name are ignored.
+/// missing or has another type; fields that are not in the table are ignored.
 template <meadowyard::operations::StoredRecord Record>
 struct nlohmann::adl_serializer<Record> {
   static void to_json(json& stored, const Record& record) {  // NOLINT(readability-identifier-naming): library
--- a/src/operations/successor_listener.hpp
+++ b/src/operations/successor_listener.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Where the successor, the next process of the same gateway, finds this one.
+/// The listening socket to which the successor, the next process of the same gateway, connects.
 #ifndef MEADOWYARD_OPERATIONS_SUCCESSOR_LISTENER_HPP_
 #define MEADOWYARD_OPERATIONS_SUCCESSOR_LISTENER_HPP_
 
@@ -12,17 +12,17 @@
 
 namespace meadowyard::operations {
 
-/// Listens for successors at a path of the file system (see HandoverPath).
+/// Listens for successors on a Unix socket in the file system (see config::HandoverSocketPath).
 class SuccessorListener {
  public:
   using ConnectedCallback = std::function<void(Descriptor connection)>;
 
-  /// Doesn't listen yet. `on_connected` is called for each connection from a process of the same user.
+  /// Doesn't start to listen. `on_connected` is called for each connection from a process of the same user.
   SuccessorListener(boost::asio::io_context& io, std::string path, ConnectedCallback on_connected);
 
-  /// Listens, in place of any process that listens there now; false if it can't.
+  /// Starts to listen, replacing any process that listens at the path; false on failure.
   [[nodiscard]] bool Listen();
-  /// Stops listening. The path stays, as a successor may listen there already.
+  /// Stops listening. Doesn't remove the path, because a successor may already listen there.
   void Close();
 
  private:
--- a/src/operations/unix_socket.cpp
+++ b/src/operations/unix_socket.cpp
@@ -12,9 +12,9 @@
 namespace meadowyard::operations {
 namespace {
 
-constexpr int kBacklog = 4;                 // one successor at a time, and some that start by mistake
-constexpr mode_t kOwnerOnly = 0600;         // the permissions of the socket's file
-constexpr const char* kNewSuffix = ".new";  // of a socket's path until it listens
+constexpr int kListenBacklog = 4;    // connections: one successor, and a few processes started by mistake
+constexpr mode_t kOwnerOnly = 0600;  // permissions of the socket's file
+constexpr const char* kNewSocketSuffix = ".new";  // appended to a socket's path until it listens
 
 bool BelongsToSameUser(int socket) {
   ucred peer{};
@@ -29,25 +29,29 @@
   return address;
 }
 
-const sockaddr* Generic(const sockaddr_un& address) { return reinterpret_cast<const sockaddr*>(&address); }
+const sockaddr* ToGenericAddress(const sockaddr_un& address) {
+  return reinterpret_cast<const sockaddr*>(&address);
+}
 
 }  // namespace
 
 Descriptor ConnectUnixSocket(const std::string& path) {
   Descriptor socket(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
   const sockaddr_un address = ToAddress(path);
-  if (!socket || ::connect(socket.get(), Generic(address), sizeof address) != 0) return Descriptor();
+  if (!socket || ::connect(socket.get(), ToGenericAddress(address), sizeof address) != 0) return Descriptor();
   return BelongsToSameUser(socket.get()) ? std::move(socket) : Descriptor();
 }
 
 Descriptor ListenOnUnixSocket(const std::string& path) {
-  // Under another name first: whoever finds the socket at `path` can connect to it.
-  const std::string new_path = path + kNewSuffix;
+  // Bound under a temporary name and renamed once it listens, so that a connection to `path` never fails
+  // because the socket doesn't listen yet.
+  const std::string new_path = path + kNewSocketSuffix;
   ::unlink(new_path.c_str());
   Descriptor socket(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
   const sockaddr_un address = ToAddress(new_path);
-  const bool listens = socket && ::bind(socket.get(), Generic(address), sizeof address) == 0 &&
-                       ::chmod(new_path.c_str(), kOwnerOnly) == 0 && ::listen(socket.get(), kBacklog) == 0 &&
+  const bool listens = socket && ::bind(socket.get(), ToGenericAddress(address), sizeof address) == 0 &&
+                       ::chmod(new_path.c_str(), kOwnerOnly) == 0 &&
+                       ::listen(socket.get(), kListenBacklog) == 0 &&
                        std::rename(new_path.c_str(), path.c_str()) == 0;
   return listens ? std::move(socket) : Descriptor();
 }
--- a/src/operations/unix_socket.hpp
+++ b/src/operations/unix_socket.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Unix sockets that keep message boundaries (SOCK_SEQPACKET), over which two processes of one gateway find
-/// each other.
+/// Unix sockets that preserve message boundaries (SOCK_SEQPACKET), which connect two processes of one
+/// gateway.
 #ifndef MEADOWYARD_OPERATIONS_UNIX_SOCKET_HPP_
 #define MEADOWYARD_OPERATIONS_UNIX_SOCKET_HPP_
 
@@ -10,14 +10,15 @@
 
 namespace meadowyard::operations {
 
-/// Connects to the socket at `path`; empty if there is none, or it belongs to a process of another user.
+/// Connects to the socket at `path`; empty on failure, or if the process that listens there is another
+/// user's.
 [[nodiscard]] Descriptor ConnectUnixSocket(const std::string& path);
 
-/// Listens at `path`, in place of any process that listens there now, which keeps its socket but is no longer
-/// found. Only processes of the same user can connect. Empty if it can't listen.
+/// Listens at `path`, replacing any process that listens there: that process keeps its socket, but new
+/// connections no longer reach it. Only processes of the same user can connect. Empty on failure.
 [[nodiscard]] Descriptor ListenOnUnixSocket(const std::string& path);
 
-/// The next connection to a listening socket; empty if there is none now, or it came from another user's
+/// Accepts the next connection without blocking; empty if none is pending, or if it came from another user's
 /// process.
 [[nodiscard]] Descriptor AcceptUnixConnection(int listener);
 
--- a/tests/operations/handover_format_test.cpp
+++ b/tests/operations/handover_format_test.cpp
@@ -432,7 +432,9 @@
   }
 }
 
-TEST(HandoverFormat, TakesMessagesOfSeventyTwoKibibytes) { EXPECT_EQ(operations::kMaxMessageText, 73728u); }
+TEST(HandoverFormat, TakesMessagesOfSeventyTwoKibibytes) {
+  EXPECT_EQ(operations::kMaxMessageTextBytes, 73728u);
+}
 
 // Guards the place where versions find each other.
 TEST(HandoverFormat, NamesTheSocketAfterTheListener) {
@@ -526,7 +528,7 @@
   boost::asio::io_context io;
   TemporaryFolder folder;
   Recorder recorder;
-  const std::string piece(operations::kMaxMessageText, 's');
+  const std::string piece(operations::kMaxMessageTextBytes, 's');
   recorder.state = piece + piece + "rest";
   const std::string path = config::HandoverSocketPath(folder.path, "x");
   operations::HotRestartCoordinator coordinator(io, path, operations::Descriptor(), recorder);
