--- a/tests/operations/handover_format_test.cpp
+++ b/tests/operations/handover_format_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The formats that two versions of the program share during a hot restart: the state as JSON, and the
-/// messages on the link. The other version may be ff1d420, so these never change.
+/// The formats that two versions of the program exchange during a hot restart: the state as JSON, and the
+/// messages on the channel. The other process may run version ff1d420, so the formats must never change.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -44,57 +44,58 @@
 }
 
 discovery::EndpointList FixtureHosts() {
-  Endpoint up;
-  up.id = "web-1";
-  up.zone = "north";
-  up.kind = "large";
-  up.cell = "3";
-  up.weight = 2.5;
-  up.started_at = 1700000000123.25;
-  Endpoint draining;
-  draining.id = "web-\xc3\xa9";
-  draining.zone = "south";
-  draining.kind = "small";
-  draining.cell = "\"c/7\"";
-  draining.state = EndpointState::kDraining;
-  draining.weight = 0.1;
-  Endpoint gone;
-  gone.id = "web-3";
-  gone.state = EndpointState::kRemoved;
+  Endpoint serving_host;
+  serving_host.id = "web-1";
+  serving_host.zone = "north";
+  serving_host.kind = "large";
+  serving_host.cell = "3";
+  serving_host.weight = 2.5;
+  serving_host.started_at = 1700000000123.25;
+  Endpoint draining_host;
+  draining_host.id = "web-\xc3\xa9";
+  draining_host.zone = "south";
+  draining_host.kind = "small";
+  draining_host.cell = "\"c/7\"";
+  draining_host.state = EndpointState::kDraining;
+  draining_host.weight = 0.1;
+  Endpoint removed_host;
+  removed_host.id = "web-3";
+  removed_host.state = EndpointState::kRemoved;
   discovery::EndpointList hosts;
-  hosts.revision = 9007199254740993;  // more than a double holds
-  hosts.endpoints = {
-      {up, Address("10.1.0.18", 3000)}, {draining, Address("::1", 65535)}, {gone, Address("10.1.0.20", 1)}};
+  hosts.revision = 9007199254740993;  // not representable as a double
+  hosts.endpoints = {{serving_host, Address("10.1.0.18", 3000)},
+                     {draining_host, Address("::1", 65535)},
+                     {removed_host, Address("10.1.0.20", 1)}};
   return hosts;
 }
 
 LearnedState FixtureLearnedState() {
-  LearnedState::OfEndpoint trusted;
-  trusted.id = "web-1";
-  trusted.latency = 1.0 / 3;
-  trusted.average_latency = 0.1;
-  trusted.uncongested_latency = 2.2250738585072014e-308;
-  trusted.concurrency_limit = 17.75;
-  trusted.failure_rate = 1e-9;
-  trusted.samples = 2147483647;
-  trusted.last_served_at = 86400000.5;
-  trusted.started_at = -1e15;
-  trusted.slow_start_credit = 0.30000000000000004;
-  LearnedState::OfEndpoint suspect;
-  suspect.id = "web-\xc3\xa9";
-  suspect.latency = 1.5;
-  suspect.average_latency = 2;
-  suspect.uncongested_latency = 3;
-  suspect.concurrency_limit = 4;
-  suspect.failure_rate = 0.875;
-  suspect.samples = 5;
-  suspect.ejected = true;
-  suspect.last_served_at = -12.5;
-  suspect.started_at = 99;
-  suspect.slow_start_credit = 6;
-  LearnedState::OfEndpoint lost;
-  lost.id = "web-3";
-  lost.connection_failed = true;
+  LearnedState::OfEndpoint healthy_endpoint;
+  healthy_endpoint.id = "web-1";
+  healthy_endpoint.latency = 1.0 / 3;
+  healthy_endpoint.average_latency = 0.1;
+  healthy_endpoint.uncongested_latency = 2.2250738585072014e-308;
+  healthy_endpoint.concurrency_limit = 17.75;
+  healthy_endpoint.failure_rate = 1e-9;
+  healthy_endpoint.samples = 2147483647;
+  healthy_endpoint.last_served_at = 86400000.5;
+  healthy_endpoint.started_at = -1e15;
+  healthy_endpoint.slow_start_credit = 0.30000000000000004;
+  LearnedState::OfEndpoint ejected_endpoint;
+  ejected_endpoint.id = "web-\xc3\xa9";
+  ejected_endpoint.latency = 1.5;
+  ejected_endpoint.average_latency = 2;
+  ejected_endpoint.uncongested_latency = 3;
+  ejected_endpoint.concurrency_limit = 4;
+  ejected_endpoint.failure_rate = 0.875;
+  ejected_endpoint.samples = 5;
+  ejected_endpoint.ejected = true;
+  ejected_endpoint.last_served_at = -12.5;
+  ejected_endpoint.started_at = 99;
+  ejected_endpoint.slow_start_credit = 6;
+  LearnedState::OfEndpoint disconnected_endpoint;
+  disconnected_endpoint.id = "web-3";
+  disconnected_endpoint.connection_failed = true;
   LearnedState::OfKind kind;
   kind.name = "large";
   kind.latency = 1.25;
@@ -112,7 +113,7 @@
   other_class.name = "pay";
   other_class.latency = 1e300;
   LearnedState learned;
-  learned.endpoints = {trusted, suspect, lost};
+  learned.endpoints = {healthy_endpoint, ejected_endpoint, disconnected_endpoint};
   learned.kinds = {kind, other_kind};
   learned.classes = {traffic_class, other_class};
   learned.in_maintenance = {"web-3", "never-listed"};
@@ -128,7 +129,7 @@
   return learned;
 }
 
-// What the fixture holds, in the members that hold it today.
+// The state that the fixture file contains, in the current members.
 operations::HandoverState FixtureState() {
   operations::HandoverState state;
   state.configuration = R"({"seed":"1f","settings":{"zone":"a"}})";
@@ -142,103 +143,103 @@
   return state;
 }
 
-// Written by ToText of ff1d420 from the state that FixtureState() describes.
+// Written by ToText of version ff1d420 from the state that FixtureState() returns.
 std::string StateFixture() {
   std::ifstream stream(MEADOWYARD_FIXTURES "/ff1d420/handover_state.json", std::ios::binary);
   EXPECT_TRUE(stream);
   return {std::istreambuf_iterator<char>(stream), std::istreambuf_iterator<char>()};
 }
 
-void ExpectEqual(const LearnedState::OfEndpoint& read, const LearnedState::OfEndpoint& expected) {
+void ExpectEqual(const LearnedState::OfEndpoint& parsed, const LearnedState::OfEndpoint& expected) {
   SCOPED_TRACE(expected.id);
-  EXPECT_EQ(read.id, expected.id);
-  EXPECT_EQ(read.latency, expected.latency);
-  EXPECT_EQ(read.average_latency, expected.average_latency);
-  EXPECT_EQ(read.uncongested_latency, expected.uncongested_latency);
-  EXPECT_EQ(read.concurrency_limit, expected.concurrency_limit);
-  EXPECT_EQ(read.failure_rate, expected.failure_rate);
-  EXPECT_EQ(read.samples, expected.samples);
-  EXPECT_EQ(read.ejected, expected.ejected);
-  EXPECT_EQ(read.connection_failed, expected.connection_failed);
-  EXPECT_EQ(read.last_served_at, expected.last_served_at);
-  EXPECT_EQ(read.started_at, expected.started_at);
-  EXPECT_EQ(read.slow_start_credit, expected.slow_start_credit);
+  EXPECT_EQ(parsed.id, expected.id);
+  EXPECT_EQ(parsed.latency, expected.latency);
+  EXPECT_EQ(parsed.average_latency, expected.average_latency);
+  EXPECT_EQ(parsed.uncongested_latency, expected.uncongested_latency);
+  EXPECT_EQ(parsed.concurrency_limit, expected.concurrency_limit);
+  EXPECT_EQ(parsed.failure_rate, expected.failure_rate);
+  EXPECT_EQ(parsed.samples, expected.samples);
+  EXPECT_EQ(parsed.ejected, expected.ejected);
+  EXPECT_EQ(parsed.connection_failed, expected.connection_failed);
+  EXPECT_EQ(parsed.last_served_at, expected.last_served_at);
+  EXPECT_EQ(parsed.started_at, expected.started_at);
+  EXPECT_EQ(parsed.slow_start_credit, expected.slow_start_credit);
 }
 
-void ExpectEqual(const LearnedState::OfKind& read, const LearnedState::OfKind& expected) {
+void ExpectEqual(const LearnedState::OfKind& parsed, const LearnedState::OfKind& expected) {
   SCOPED_TRACE(expected.name);
-  EXPECT_EQ(read.name, expected.name);
-  EXPECT_EQ(read.latency, expected.latency);
-  EXPECT_EQ(read.average_latency, expected.average_latency);
-  EXPECT_EQ(read.uncongested_latency, expected.uncongested_latency);
-  EXPECT_EQ(read.samples, expected.samples);
+  EXPECT_EQ(parsed.name, expected.name);
+  EXPECT_EQ(parsed.latency, expected.latency);
+  EXPECT_EQ(parsed.average_latency, expected.average_latency);
+  EXPECT_EQ(parsed.uncongested_latency, expected.uncongested_latency);
+  EXPECT_EQ(parsed.samples, expected.samples);
 }
 
-void ExpectEqual(const LearnedState::OfClass& read, const LearnedState::OfClass& expected) {
+void ExpectEqual(const LearnedState::OfClass& parsed, const LearnedState::OfClass& expected) {
   SCOPED_TRACE(expected.name);
-  EXPECT_EQ(read.name, expected.name);
-  EXPECT_EQ(read.latency, expected.latency);
-  EXPECT_EQ(read.observed_time_budget, expected.observed_time_budget);
-  EXPECT_EQ(read.samples, expected.samples);
+  EXPECT_EQ(parsed.name, expected.name);
+  EXPECT_EQ(parsed.latency, expected.latency);
+  EXPECT_EQ(parsed.observed_time_budget, expected.observed_time_budget);
+  EXPECT_EQ(parsed.samples, expected.samples);
 }
 
 template <typename Entry>
-void ExpectEqual(const std::vector<Entry>& read, const std::vector<Entry>& expected) {
-  ASSERT_EQ(read.size(), expected.size());
-  for (std::size_t i = 0; i < read.size(); ++i) ExpectEqual(read[i], expected[i]);
+void ExpectEqual(const std::vector<Entry>& parsed, const std::vector<Entry>& expected) {
+  ASSERT_EQ(parsed.size(), expected.size());
+  for (std::size_t i = 0; i < parsed.size(); ++i) ExpectEqual(parsed[i], expected[i]);
 }
 
-// Guards what a process learned against a change of version: each field that ff1d420 wrote is read into the
-// member that means the same today.
+// Guards against a learned value lost or misassigned when the predecessor runs ff1d420: each field that it
+// wrote is parsed into the member of the same meaning.
 TEST(HandoverFormat, ReadsTheLearnedStateOfFf1d420) {
   const auto state = operations::ParseHandoverState(StateFixture());
   ASSERT_TRUE(state);
-  const LearnedState& read = state->learned;
+  const LearnedState& parsed = state->learned;
   const LearnedState expected = FixtureLearnedState();
-  ExpectEqual(read.endpoints, expected.endpoints);
-  ExpectEqual(read.kinds, expected.kinds);
-  ExpectEqual(read.classes, expected.classes);
-  EXPECT_EQ(read.in_maintenance, expected.in_maintenance);
-  EXPECT_EQ(read.rate, expected.rate);
-  EXPECT_EQ(read.dispatch_rate, expected.dispatch_rate);
-  EXPECT_EQ(read.arrival_rate, expected.arrival_rate);
-  EXPECT_EQ(read.untimely_share, expected.untimely_share);
-  EXPECT_EQ(read.failure_rate, expected.failure_rate);
-  EXPECT_EQ(read.warm_responses, expected.warm_responses);
-  EXPECT_EQ(read.warm_time, expected.warm_time);
-  EXPECT_EQ(read.mean_latency, expected.mean_latency);
-  EXPECT_EQ(read.samples, expected.samples);
+  ExpectEqual(parsed.endpoints, expected.endpoints);
+  ExpectEqual(parsed.kinds, expected.kinds);
+  ExpectEqual(parsed.classes, expected.classes);
+  EXPECT_EQ(parsed.in_maintenance, expected.in_maintenance);
+  EXPECT_EQ(parsed.rate, expected.rate);
+  EXPECT_EQ(parsed.dispatch_rate, expected.dispatch_rate);
+  EXPECT_EQ(parsed.arrival_rate, expected.arrival_rate);
+  EXPECT_EQ(parsed.untimely_share, expected.untimely_share);
+  EXPECT_EQ(parsed.failure_rate, expected.failure_rate);
+  EXPECT_EQ(parsed.warm_responses, expected.warm_responses);
+  EXPECT_EQ(parsed.warm_time, expected.warm_time);
+  EXPECT_EQ(parsed.mean_latency, expected.mean_latency);
+  EXPECT_EQ(parsed.samples, expected.samples);
 }
 
-// The same of what a process knows besides: its configuration, the list of hosts and its descriptors.
-TEST(HandoverFormat, ReadsTheHostsAndFilesOfFf1d420) {
-  const auto read = operations::ParseHandoverState(StateFixture());
-  ASSERT_TRUE(read);
+// Guards the rest of the state likewise: the configuration, the list of hosts and the number of descriptors.
+TEST(HandoverFormat, ReadsTheHostsAndConfigurationOfFf1d420) {
+  const auto parsed = operations::ParseHandoverState(StateFixture());
+  ASSERT_TRUE(parsed);
   const operations::HandoverState expected = FixtureState();
-  EXPECT_EQ(read->configuration, expected.configuration);
-  EXPECT_EQ(read->discovery_address, expected.discovery_address);
-  EXPECT_EQ(read->revision_known, expected.revision_known);
-  EXPECT_EQ(read->descriptors, expected.descriptors);
-  EXPECT_EQ(read->edge_configuration, expected.edge_configuration);
-  EXPECT_EQ(read->hosts.revision, expected.hosts.revision);
-  EXPECT_EQ(read->hosts.is_snapshot, expected.hosts.is_snapshot);
-  ASSERT_EQ(read->hosts.endpoints.size(), expected.hosts.endpoints.size());
+  EXPECT_EQ(parsed->configuration, expected.configuration);
+  EXPECT_EQ(parsed->discovery_address, expected.discovery_address);
+  EXPECT_EQ(parsed->revision_known, expected.revision_known);
+  EXPECT_EQ(parsed->descriptors, expected.descriptors);
+  EXPECT_EQ(parsed->edge_configuration, expected.edge_configuration);
+  EXPECT_EQ(parsed->hosts.revision, expected.hosts.revision);
+  EXPECT_EQ(parsed->hosts.is_snapshot, expected.hosts.is_snapshot);
+  ASSERT_EQ(parsed->hosts.endpoints.size(), expected.hosts.endpoints.size());
   for (std::size_t i = 0; i < expected.hosts.endpoints.size(); ++i) {
-    const discovery::EndpointRecord& host = read->hosts.endpoints[i];
-    const discovery::EndpointRecord& wanted = expected.hosts.endpoints[i];
-    SCOPED_TRACE(wanted.endpoint.id);
-    EXPECT_EQ(host.endpoint.id, wanted.endpoint.id);
-    EXPECT_EQ(host.endpoint.zone, wanted.endpoint.zone);
-    EXPECT_EQ(host.endpoint.kind, wanted.endpoint.kind);
-    EXPECT_EQ(host.endpoint.cell, wanted.endpoint.cell);
-    EXPECT_EQ(host.endpoint.state, wanted.endpoint.state);
-    EXPECT_EQ(host.endpoint.weight, wanted.endpoint.weight);
-    EXPECT_EQ(host.endpoint.started_at, wanted.endpoint.started_at);
-    EXPECT_EQ(host.address, wanted.address);
+    const discovery::EndpointRecord& host = parsed->hosts.endpoints[i];
+    const discovery::EndpointRecord& expected_host = expected.hosts.endpoints[i];
+    SCOPED_TRACE(expected_host.endpoint.id);
+    EXPECT_EQ(host.endpoint.id, expected_host.endpoint.id);
+    EXPECT_EQ(host.endpoint.zone, expected_host.endpoint.zone);
+    EXPECT_EQ(host.endpoint.kind, expected_host.endpoint.kind);
+    EXPECT_EQ(host.endpoint.cell, expected_host.endpoint.cell);
+    EXPECT_EQ(host.endpoint.state, expected_host.endpoint.state);
+    EXPECT_EQ(host.endpoint.weight, expected_host.endpoint.weight);
+    EXPECT_EQ(host.endpoint.started_at, expected_host.endpoint.started_at);
+    EXPECT_EQ(host.address, expected_host.address);
   }
 }
 
-// Guards the way back: ff1d420 reads what it would have written itself.
+// Guards the hot restart back to ff1d420: it receives exactly the bytes that it would have written itself.
 TEST(HandoverFormat, WritesTheSameBytesAsFf1d420) {
   const std::string fixture = StateFixture();
   EXPECT_EQ(operations::SerializeHandoverState(FixtureState()), fixture);
@@ -247,103 +248,103 @@
   EXPECT_EQ(operations::SerializeHandoverState(*state), fixture);
 }
 
-std::set<std::string> Names(const json& object) {
+std::set<std::string> FieldNames(const json& object) {
   std::set<std::string> names;
   for (const auto& [name, value] : object.items()) names.insert(name);
   return names;
 }
 
-// Guards the stored names by themselves, so that a new one is seen here too.
-TEST(HandoverFormat, StoresEachFieldUnderItsOwnName) {
+// Guards the names of the stored fields against additions, removals and renames.
+TEST(HandoverFormat, StoresEachFieldUnderItsFixedName) {
   const json stored = json::parse(operations::SerializeHandoverState(FixtureState()));
-  using Set = std::set<std::string>;
-  EXPECT_EQ(Names(stored),
-            (Set{"file", "discovery", "hosts", "revision_known", "learned", "descriptors", "edge"}));
+  using NameSet = std::set<std::string>;
+  EXPECT_EQ(FieldNames(stored),
+            (NameSet{"file", "discovery", "hosts", "revision_known", "learned", "descriptors", "edge"}));
   const json& learned = stored.at("learned");
-  EXPECT_EQ(Names(learned),
-            (Set{"servers", "kinds", "classes", "out_by_hand", "rate", "spent_rate", "arriving", "failing",
-                 "unserved", "warm_served", "warm_time", "mean_latency", "samples"}));
-  EXPECT_EQ(Names(learned.at("servers").at(0)),
-            (Set{"id", "latency", "steady", "base", "limit", "failing", "samples", "suspect", "lost",
-                 "last_served", "cold_since", "cold_credit"}));
-  EXPECT_EQ(Names(learned.at("kinds").at(0)), (Set{"name", "latency", "steady", "base", "samples"}));
-  EXPECT_EQ(Names(learned.at("classes").at(0)), (Set{"name", "latency", "most_left", "samples"}));
+  EXPECT_EQ(FieldNames(learned),
+            (NameSet{"servers", "kinds", "classes", "out_by_hand", "rate", "spent_rate", "arriving",
+                     "failing", "unserved", "warm_served", "warm_time", "mean_latency", "samples"}));
+  EXPECT_EQ(FieldNames(learned.at("servers").at(0)),
+            (NameSet{"id", "latency", "steady", "base", "limit", "failing", "samples", "suspect", "lost",
+                     "last_served", "cold_since", "cold_credit"}));
+  EXPECT_EQ(FieldNames(learned.at("kinds").at(0)), (NameSet{"name", "latency", "steady", "base", "samples"}));
+  EXPECT_EQ(FieldNames(learned.at("classes").at(0)), (NameSet{"name", "latency", "most_left", "samples"}));
 }
 
-// Guards against half a state: without any one field, or with one of another type, the whole is refused. Only
-// "edge" may be missing, as versions before tunnels have none.
-TEST(HandoverFormat, RefusesAStateThatLacksAField) {
-  const json whole = json::parse(StateFixture());
+// Guards against the use of an incomplete state: if a field is missing or has another type, the state is
+// rejected. Only "edge" may be missing, since versions without tunnels don't send it.
+TEST(HandoverFormat, RejectsAStateWithAMissingOrMistypedField) {
+  const json complete_state = json::parse(StateFixture());
   std::vector<json::json_pointer> fields;
-  const auto add = [&](const json::json_pointer& parent) {
-    for (const auto& [name, value] : whole.at(parent).items()) fields.push_back(parent / name);
+  const auto add_fields_of = [&](const json::json_pointer& parent) {
+    for (const auto& [name, value] : complete_state.at(parent).items()) fields.push_back(parent / name);
   };
   for (const char* const parent : {"", "/learned", "/learned/servers/0", "/learned/servers/2",
                                    "/learned/kinds/0", "/learned/classes/1"}) {
-    add(json::json_pointer(parent));
+    add_fields_of(json::json_pointer(parent));
   }
   for (const auto& field : fields) {
     SCOPED_TRACE(field.to_string());
-    json lacking = whole;
-    lacking.at(field.parent_pointer()).erase(field.back());
+    json incomplete_state = complete_state;
+    incomplete_state.at(field.parent_pointer()).erase(field.back());
     const bool may_be_missing = field.to_string() == "/edge";
-    EXPECT_EQ(operations::ParseHandoverState(lacking.dump()).has_value(), may_be_missing);
-    json mistyped = whole;
-    mistyped.at(field) = json::object({{"other", "type"}});
-    EXPECT_FALSE(operations::ParseHandoverState(mistyped.dump()));
+    EXPECT_EQ(operations::ParseHandoverState(incomplete_state.dump()).has_value(), may_be_missing);
+    json mistyped_state = complete_state;
+    mistyped_state.at(field) = json::object({{"other", "type"}});
+    EXPECT_FALSE(operations::ParseHandoverState(mistyped_state.dump()));
   }
 }
 
-// Guards the way between versions that know more: names that aren't known are passed over.
-TEST(HandoverFormat, PassesOverFieldsOfLaterVersions) {
-  json later = json::parse(StateFixture());
-  later["later"] = 1;
-  later["learned"]["later"] = {1, 2};
-  later["learned"]["servers"][0]["later"] = "x";
-  const auto state = operations::ParseHandoverState(later.dump());
+// Guards against the rejection of a later version's state: unknown fields are ignored.
+TEST(HandoverFormat, IgnoresFieldsOfLaterVersions) {
+  json later_state = json::parse(StateFixture());
+  later_state["later"] = 1;
+  later_state["learned"]["later"] = {1, 2};
+  later_state["learned"]["servers"][0]["later"] = "x";
+  const auto state = operations::ParseHandoverState(later_state.dump());
   ASSERT_TRUE(state);
   EXPECT_EQ(operations::SerializeHandoverState(*state), StateFixture());
 }
 
-// ---- The messages on the link --------------------------------------------------------------------
+// ---- The messages on the channel -----------------------------------------------------------------
 
 struct SocketPair {
   SocketPair() {
-    int both[2] = {-1, -1};
-    EXPECT_EQ(::socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0, both), 0);
-    ours = operations::Descriptor(both[0]);
-    theirs = operations::Descriptor(both[1]);
+    int ends[2] = {-1, -1};
+    EXPECT_EQ(::socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0, ends), 0);
+    local_end = operations::Descriptor(ends[0]);
+    remote_end = operations::Descriptor(ends[1]);
   }
-  operations::Descriptor ours;
-  operations::Descriptor theirs;
+  operations::Descriptor local_end;
+  operations::Descriptor remote_end;
 };
 
-// One packet as it is on the link.
+// One packet as received from the socket.
 struct Packet {
   std::string bytes;
   std::vector<int> descriptors;  // closed by ClosePacket
 };
 
-Packet ReceivePacket(int link) {
-  const timeval at_most{.tv_sec = 30, .tv_usec = 0};
-  EXPECT_EQ(::setsockopt(link, SOL_SOCKET, SO_RCVTIMEO, &at_most, sizeof at_most), 0);
+Packet ReceivePacket(int channel) {
+  const timeval receive_timeout{.tv_sec = 30, .tv_usec = 0};
+  EXPECT_EQ(::setsockopt(channel, SOL_SOCKET, SO_RCVTIMEO, &receive_timeout, sizeof receive_timeout), 0);
   std::vector<char> bytes(256 * 1024);
-  iovec part = {bytes.data(), bytes.size()};
+  iovec segment = {bytes.data(), bytes.size()};
   alignas(cmsghdr) char control[CMSG_SPACE(8 * sizeof(int))] = {};
   msghdr message{};
-  message.msg_iov = &part;
+  message.msg_iov = &segment;
   message.msg_iovlen = 1;
   message.msg_control = control;
   message.msg_controllen = sizeof control;
-  const ssize_t size = ::recvmsg(link, &message, 0);
+  const ssize_t size = ::recvmsg(channel, &message, 0);
   Packet packet;
   if (size > 0) packet.bytes.assign(bytes.data(), static_cast<std::size_t>(size));
-  const cmsghdr* const head = CMSG_FIRSTHDR(&message);
-  if (head == nullptr) return packet;
-  EXPECT_EQ(head->cmsg_level, SOL_SOCKET);
-  EXPECT_EQ(head->cmsg_type, SCM_RIGHTS);
-  packet.descriptors.resize((head->cmsg_len - CMSG_LEN(0)) / sizeof(int));
-  std::memcpy(packet.descriptors.data(), CMSG_DATA(head), head->cmsg_len - CMSG_LEN(0));
+  const cmsghdr* const control_header = CMSG_FIRSTHDR(&message);
+  if (control_header == nullptr) return packet;
+  EXPECT_EQ(control_header->cmsg_level, SOL_SOCKET);
+  EXPECT_EQ(control_header->cmsg_type, SCM_RIGHTS);
+  packet.descriptors.resize((control_header->cmsg_len - CMSG_LEN(0)) / sizeof(int));
+  std::memcpy(packet.descriptors.data(), CMSG_DATA(control_header), control_header->cmsg_len - CMSG_LEN(0));
   return packet;
 }
 
@@ -351,19 +352,19 @@
   for (const int descriptor : packet.descriptors) ::close(descriptor);
 }
 
-bool SameFile(int one, int other) {
+bool SameFile(int fd, int other_fd) {
   struct stat first {};
   struct stat second {};
-  return ::fstat(one, &first) == 0 && ::fstat(other, &second) == 0 && first.st_dev == second.st_dev &&
+  return ::fstat(fd, &first) == 0 && ::fstat(other_fd, &second) == 0 && first.st_dev == second.st_dev &&
          first.st_ino == second.st_ino;
 }
 
-struct KindOnTheLink {
+struct KindAndLetter {
   Kind kind;
   char letter;
 };
 
-constexpr KindOnTheLink kKinds[] = {
+constexpr KindAndLetter kKindLetters[] = {
     {Kind::kState, 'S'},
     {Kind::kStateComplete, 'E'},
     {Kind::kSuccessorReady, 'R'},
@@ -376,67 +377,70 @@
     {Kind::kTunnel, 'T'},
 };
 
-// Guards the framing: a packet is the kind's letter and the text, nothing else, with the descriptors beside
-// it in their order.
-TEST(HandoverFormat, SendsALetterAndTheTextInOnePacket) {
+// Guards the framing: a packet contains only the kind's letter and the text, with the descriptors in order as
+// ancillary data.
+TEST(HandoverFormat, SendsKindLetterAndTextInOnePacket) {
   const std::string text("a b\0c", 5);
-  for (const auto& [kind, letter] : kKinds) {
+  for (const auto& [kind, letter] : kKindLetters) {
     SCOPED_TRACE(letter);
-    SocketPair link;
+    SocketPair channel;
     SocketPair passed;
-    ASSERT_TRUE(operations::SendMessage(link.ours.get(), {.kind = kind, .text = text}));
-    ASSERT_TRUE(operations::SendMessage(link.ours.get(), {.kind = kind, .descriptor = passed.ours.get()}));
-    ASSERT_TRUE(operations::SendMessage(link.ours.get(), {.kind = kind,
+    ASSERT_TRUE(operations::SendMessage(channel.local_end.get(), {.kind = kind, .text = text}));
+    ASSERT_TRUE(operations::SendMessage(channel.local_end.get(),
+                                        {.kind = kind, .descriptor = passed.local_end.get()}));
+    ASSERT_TRUE(
+        operations::SendMessage(channel.local_end.get(), {.kind = kind,
                                                           .text = text,
-                                                          .descriptor = passed.ours.get(),
-                                                          .second_descriptor = passed.theirs.get()}));
-    const Packet plain = ReceivePacket(link.theirs.get());
+                                                          .descriptor = passed.local_end.get(),
+                                                          .second_descriptor = passed.remote_end.get()}));
+    const Packet plain = ReceivePacket(channel.remote_end.get());
     EXPECT_EQ(plain.bytes, letter + text);
     EXPECT_TRUE(plain.descriptors.empty());
-    const Packet with_one = ReceivePacket(link.theirs.get());
+    const Packet with_one = ReceivePacket(channel.remote_end.get());
     EXPECT_EQ(with_one.bytes, std::string(1, letter));
     ASSERT_EQ(with_one.descriptors.size(), 1u);
-    EXPECT_TRUE(SameFile(with_one.descriptors[0], passed.ours.get()));
-    const Packet with_two = ReceivePacket(link.theirs.get());
+    EXPECT_TRUE(SameFile(with_one.descriptors[0], passed.local_end.get()));
+    const Packet with_two = ReceivePacket(channel.remote_end.get());
     EXPECT_EQ(with_two.bytes, letter + text);
     ASSERT_EQ(with_two.descriptors.size(), 2u);
-    EXPECT_TRUE(SameFile(with_two.descriptors[0], passed.ours.get()));
-    EXPECT_TRUE(SameFile(with_two.descriptors[1], passed.theirs.get()));
+    EXPECT_TRUE(SameFile(with_two.descriptors[0], passed.local_end.get()));
+    EXPECT_TRUE(SameFile(with_two.descriptors[1], passed.remote_end.get()));
     ClosePacket(with_one);
     ClosePacket(with_two);
   }
 }
 
-// The same from the other side: what ff1d420 sends is read as what it means.
-TEST(HandoverFormat, ReadsALetterAndTheTextOfOnePacket) {
-  for (const auto& [kind, letter] : kKinds) {
+// Guards the framing on receipt: a packet of ff1d420 is received with its kind and text.
+TEST(HandoverFormat, ReceivesKindLetterAndTextFromOnePacket) {
+  for (const auto& [kind, letter] : kKindLetters) {
     SCOPED_TRACE(letter);
-    SocketPair link;
+    SocketPair channel;
     const std::string packet = letter + std::string("10.0.0.1:80 web 1");
-    ASSERT_EQ(::send(link.ours.get(), packet.data(), packet.size(), 0), static_cast<ssize_t>(packet.size()));
-    ASSERT_EQ(::send(link.ours.get(), &letter, 1, 0), 1);
-    const auto result = operations::ReceiveMessage(link.theirs.get());
+    ASSERT_EQ(::send(channel.local_end.get(), packet.data(), packet.size(), 0),
+              static_cast<ssize_t>(packet.size()));
+    ASSERT_EQ(::send(channel.local_end.get(), &letter, 1, 0), 1);
+    const auto result = operations::ReceiveMessage(channel.remote_end.get());
     ASSERT_EQ(result.status, operations::ReceiveStatus::kReceived);
     EXPECT_EQ(result.message.kind, kind);
     EXPECT_EQ(result.message.text, "10.0.0.1:80 web 1");
     EXPECT_FALSE(result.message.descriptor);
     EXPECT_FALSE(result.message.second_descriptor);
-    const auto empty = operations::ReceiveMessage(link.theirs.get());
+    const auto empty = operations::ReceiveMessage(channel.remote_end.get());
     ASSERT_EQ(empty.status, operations::ReceiveStatus::kReceived);
     EXPECT_EQ(empty.message.kind, kind);
     EXPECT_EQ(empty.message.text, "");
-    EXPECT_EQ(operations::ReceiveMessage(link.theirs.get()).status,
+    EXPECT_EQ(operations::ReceiveMessage(channel.remote_end.get()).status,
               operations::ReceiveStatus::kNothingPending);
-    link.ours = operations::Descriptor();
-    EXPECT_EQ(operations::ReceiveMessage(link.theirs.get()).status, operations::ReceiveStatus::kClosed);
+    channel.local_end = operations::Descriptor();
+    EXPECT_EQ(operations::ReceiveMessage(channel.remote_end.get()).status,
+              operations::ReceiveStatus::kClosed);
   }
 }
 
-TEST(HandoverFormat, TakesMessagesOfSeventyTwoKibibytes) {
-  EXPECT_EQ(operations::kMaxMessageTextBytes, 73728u);
-}
+// Guards the limit that versions share: a longer text would be truncated by the receiver.
+TEST(HandoverFormat, LimitsMessageTextsTo72Kibibytes) { EXPECT_EQ(operations::kMaxMessageTextBytes, 73728u); }
 
-// Guards the place where versions find each other.
+// Guards the path at which one version connects to another.
 TEST(HandoverFormat, NamesTheSocketAfterTheListener) {
   EXPECT_EQ(config::HandoverSocketPath("/tmp/x", "127.0.0.1:8080"), "/tmp/x/meadowyard-127.0.0.1-8080");
   EXPECT_EQ(config::HandoverSocketPath("/run", "[::1]:80"), "/run/meadowyard-[--1]-80");
@@ -445,10 +449,10 @@
   EXPECT_EQ(config::HandoverSocketPath(folder + "f", "a:1"), "");
 }
 
-// ---- The course of messages ----------------------------------------------------------------------
+// ---- The sequence of messages --------------------------------------------------------------------
 
-// Records what one process is notified of by the other one, a line each.
-class Recorder : public operations::HotRestartDelegate {
+// Records each notification from the other process as one line of text.
+class RecordingDelegate : public operations::HotRestartDelegate {
  public:
   std::string SerializeState() override { return state; }
   int ClientListener() override { return listener.get(); }
@@ -457,37 +461,37 @@
             {.name = "second", .descriptor = listener.get()}};
   }
   std::size_t CountDescriptors() override { return 7; }
-  void OnSuccessorServing() override { lines.emplace_back("successor serving"); }
-  void OnSuccessorLost() override { lines.emplace_back("successor lost"); }
+  void OnSuccessorServing() override { events.emplace_back("successor serving"); }
+  void OnSuccessorLost() override { events.emplace_back("successor lost"); }
   void OnPredecessorDescriptors(std::size_t count) override {
-    lines.push_back("predecessor descriptors " + std::to_string(count));
+    events.push_back("predecessor descriptors " + std::to_string(count));
   }
   void AdoptClientConnection(std::string_view unread, operations::Descriptor connection) override {
-    lines.push_back("client " + std::string(unread) + (connection ? " +1" : ""));
+    events.push_back("client " + std::string(unread) + (connection ? " +1" : ""));
   }
   void AdoptHostConnection(const operations::HostConnectionInfo& info,
                            operations::Descriptor connection) override {
-    lines.push_back("host " + info.host_id + " at " + discovery::FormatAddress(info.address) +
-                    (connection ? " +1" : ""));
+    events.push_back("host " + info.host_id + " at " + discovery::FormatAddress(info.address) +
+                     (connection ? " +1" : ""));
   }
   void AdoptTunnel(std::string_view text, operations::Descriptor client,
                    operations::Descriptor host) override {
-    lines.push_back("tunnel " + std::string(text) + (client && host ? " +2" : ""));
+    events.push_back("tunnel " + std::string(text) + (client && host ? " +2" : ""));
   }
   void OnMaintenanceChanged(const operations::MaintenanceChange& change) override {
-    lines.push_back((change.in_maintenance ? "in maintenance " : "maintenance ended ") + change.host_id);
+    events.push_back((change.in_maintenance ? "in maintenance " : "maintenance ended ") + change.host_id);
   }
-  bool Wait(boost::asio::io_context& io, std::size_t count) const {
-    const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
-    while (lines.size() < count && std::chrono::steady_clock::now() < end) {
+  bool WaitForEvents(boost::asio::io_context& io, std::size_t count) const {
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(30);
+    while (events.size() < count && std::chrono::steady_clock::now() < deadline) {
       io.run_one_for(std::chrono::milliseconds(50));
     }
-    return lines.size() >= count;
+    return events.size() >= count;
   }
 
   std::string state;
   operations::Descriptor listener{::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)};
-  std::vector<std::string> lines;
+  std::vector<std::string> events;
 };
 
 struct TemporaryFolder {
@@ -502,103 +506,105 @@
   std::string path;
 };
 
-operations::Descriptor Connect(const std::string& path) {
-  operations::Descriptor link(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
+operations::Descriptor ConnectToSocket(const std::string& path) {
+  operations::Descriptor channel(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0));
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
   std::memcpy(address.sun_path, path.data(), path.size());
-  EXPECT_EQ(::connect(link.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
-  return link;
+  EXPECT_EQ(::connect(channel.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
+  return channel;
 }
 
-void ExpectPacket(int link, const std::string& bytes, std::size_t descriptors) {
-  Packet packet = ReceivePacket(link);
+void ExpectPacket(int channel, const std::string& bytes, std::size_t descriptors) {
+  Packet packet = ReceivePacket(channel);
   EXPECT_EQ(packet.bytes.size(), bytes.size());
   EXPECT_TRUE(packet.bytes == bytes) << packet.bytes.substr(0, 40);
   EXPECT_EQ(packet.descriptors.size(), descriptors);
   ClosePacket(packet);
 }
 
-void SendPacket(int link, const std::string& bytes) {
-  EXPECT_EQ(::send(link, bytes.data(), bytes.size(), 0), static_cast<ssize_t>(bytes.size()));
+void SendPacket(int channel, const std::string& bytes) {
+  EXPECT_EQ(::send(channel, bytes.data(), bytes.size(), 0), static_cast<ssize_t>(bytes.size()));
 }
 
-// Guards what the next version is sent, from its first call on.
-TEST(HandoverFormat, SendsTheNextVersionItsMessagesInOrder) {
+// Guards the messages sent to a successor of another version, and their order, from its connection on.
+TEST(HandoverFormat, SendsTheSuccessorItsMessagesInOrder) {
   boost::asio::io_context io;
   TemporaryFolder folder;
-  Recorder recorder;
-  const std::string piece(operations::kMaxMessageTextBytes, 's');
-  recorder.state = piece + piece + "rest";
+  RecordingDelegate delegate;
+  const std::string full_part(operations::kMaxMessageTextBytes, 's');
+  delegate.state = full_part + full_part + "rest";
   const std::string path = config::HandoverSocketPath(folder.path, "x");
-  operations::HotRestartCoordinator coordinator(io, path, operations::Descriptor(), recorder);
+  operations::HotRestartCoordinator coordinator(io, path, operations::Descriptor(), delegate);
   coordinator.StartServing();
   struct stat status {};
   ASSERT_EQ(::stat(path.c_str(), &status), 0);
   EXPECT_EQ(status.st_mode & 07777, 0600u);
-  const operations::Descriptor link = Connect(path);
+  const operations::Descriptor channel = ConnectToSocket(path);
   io.run_one_for(std::chrono::seconds(30));
-  ExpectPacket(link.get(), "S" + piece, 1);
-  ExpectPacket(link.get(), "S" + piece, 0);
-  ExpectPacket(link.get(), "Srest", 0);
-  ExpectPacket(link.get(), "Lfirst", 1);
-  ExpectPacket(link.get(), "Lsecond", 1);
-  ExpectPacket(link.get(), "E", 0);
-  SendPacket(link.get(), "R");
-  ASSERT_TRUE(recorder.Wait(io, 1));
-  EXPECT_EQ(recorder.lines[0], "successor serving");
-  ExpectPacket(link.get(), "D7", 0);
+  ExpectPacket(channel.get(), "S" + full_part, 1);
+  ExpectPacket(channel.get(), "S" + full_part, 0);
+  ExpectPacket(channel.get(), "Srest", 0);
+  ExpectPacket(channel.get(), "Lfirst", 1);
+  ExpectPacket(channel.get(), "Lsecond", 1);
+  ExpectPacket(channel.get(), "E", 0);
+  SendPacket(channel.get(), "R");
+  ASSERT_TRUE(delegate.WaitForEvents(io, 1));
+  EXPECT_EQ(delegate.events[0], "successor serving");
+  ExpectPacket(channel.get(), "D7", 0);
   const SocketPair passed;
-  EXPECT_TRUE(coordinator.PassClientConnection("GET / HT", passed.ours.get()));
+  EXPECT_TRUE(coordinator.PassClientConnection("GET / HT", passed.local_end.get()));
   EXPECT_TRUE(coordinator.PassHostConnection({.host_id = "web 1", .address = Address("10.0.0.1", 80)},
-                                             passed.ours.get()));
-  EXPECT_TRUE(coordinator.PassTunnel("{\"a\":1}", passed.ours.get(), passed.theirs.get()));
+                                             passed.local_end.get()));
+  EXPECT_TRUE(coordinator.PassTunnel("{\"a\":1}", passed.local_end.get(), passed.remote_end.get()));
   coordinator.ReplicateMaintenance({.host_id = "web-1", .in_maintenance = true});
   coordinator.ReplicateMaintenance({.host_id = "web-1", .in_maintenance = false});
-  ExpectPacket(link.get(), "CGET / HT", 1);
-  ExpectPacket(link.get(), "H10.0.0.1:80 web 1", 1);
-  ExpectPacket(link.get(), "T{\"a\":1}", 2);
-  ExpectPacket(link.get(), "Oweb-1", 0);
-  ExpectPacket(link.get(), "Bweb-1", 0);
-  SendPacket(link.get(), "Oweb-2");
-  SendPacket(link.get(), "Bweb-2");
-  ASSERT_TRUE(recorder.Wait(io, 3));
-  EXPECT_EQ(recorder.lines[1], "in maintenance web-2");
-  EXPECT_EQ(recorder.lines[2], "maintenance ended web-2");
+  ExpectPacket(channel.get(), "CGET / HT", 1);
+  ExpectPacket(channel.get(), "H10.0.0.1:80 web 1", 1);
+  ExpectPacket(channel.get(), "T{\"a\":1}", 2);
+  ExpectPacket(channel.get(), "Oweb-1", 0);
+  ExpectPacket(channel.get(), "Bweb-1", 0);
+  SendPacket(channel.get(), "Oweb-2");
+  SendPacket(channel.get(), "Bweb-2");
+  ASSERT_TRUE(delegate.WaitForEvents(io, 3));
+  EXPECT_EQ(delegate.events[1], "in maintenance web-2");
+  EXPECT_EQ(delegate.events[2], "maintenance ended web-2");
 }
 
-// Guards what is read of the version before, and what that one is sent.
-TEST(HandoverFormat, FollowsTheMessagesOfTheVersionBefore) {
+// Guards the messages exchanged with a predecessor of another version. Unknown and malformed ones are
+// ignored.
+TEST(HandoverFormat, HandlesThePredecessorsMessages) {
   boost::asio::io_context io;
-  Recorder recorder;
-  SocketPair link;
-  operations::HotRestartCoordinator coordinator(io, "", std::move(link.theirs), recorder);
+  RecordingDelegate delegate;
+  SocketPair channel;
+  operations::HotRestartCoordinator coordinator(io, "", std::move(channel.remote_end), delegate);
   coordinator.StartServing();
-  ExpectPacket(link.ours.get(), "R", 0);
+  ExpectPacket(channel.local_end.get(), "R", 0);
   coordinator.ReplicateMaintenance({.host_id = "web-1", .in_maintenance = true});
   coordinator.ReplicateMaintenance({.host_id = "web-1", .in_maintenance = false});
-  ExpectPacket(link.ours.get(), "Oweb-1", 0);
-  ExpectPacket(link.ours.get(), "Bweb-1", 0);
-  for (const char* const packet : {"D321", "Oweb-2", "Bweb-2", "Znever heard of", "Hno-space", "D0"}) {
-    SendPacket(link.ours.get(), packet);
+  ExpectPacket(channel.local_end.get(), "Oweb-1", 0);
+  ExpectPacket(channel.local_end.get(), "Bweb-1", 0);
+  for (const char* const packet : {"D321", "Oweb-2", "Bweb-2", "Zunknown kind", "Hno-space", "D0"}) {
+    SendPacket(channel.local_end.get(), packet);
   }
   const SocketPair passed;
   for (const operations::OutgoingMessage& message : {
            operations::OutgoingMessage{
-               .kind = Kind::kClientConnection, .text = "GET /", .descriptor = passed.ours.get()},
-           operations::OutgoingMessage{
-               .kind = Kind::kHostConnection, .text = "[::1]:80 web 1", .descriptor = passed.ours.get()},
+               .kind = Kind::kClientConnection, .text = "GET /", .descriptor = passed.local_end.get()},
            operations::OutgoingMessage{
-               .kind = Kind::kHostConnection, .text = "10.0.0.1:80 web 1", .descriptor = passed.ours.get()},
+               .kind = Kind::kHostConnection, .text = "[::1]:80 web 1", .descriptor = passed.local_end.get()},
+           operations::OutgoingMessage{.kind = Kind::kHostConnection,
+           .text = "10.0.0.1:80 web 1",
+           .descriptor = passed.local_end.get()},
            operations::OutgoingMessage{.kind = Kind::kTunnel,
            .text = "{}",
-           .descriptor = passed.ours.get(),
-           .second_descriptor = passed.theirs.get()},
+           .descriptor = passed.local_end.get(),
+           .second_descriptor = passed.remote_end.get()},
        }) {
-    ASSERT_TRUE(operations::SendMessage(link.ours.get(), message));
+    ASSERT_TRUE(operations::SendMessage(channel.local_end.get(), message));
   }
-  link.ours = operations::Descriptor();
-  ASSERT_TRUE(recorder.Wait(io, 8));
+  channel.local_end = operations::Descriptor();
+  ASSERT_TRUE(delegate.WaitForEvents(io, 8));
   const std::vector<std::string> expected = {"predecessor descriptors 321",
                                              "in maintenance web-2",
                                              "maintenance ended web-2",
@@ -607,7 +613,7 @@
                                              "host web 1 at 10.0.0.1:80 +1",
                                              "tunnel {} +2",
                                              "predecessor descriptors 0"};
-  EXPECT_EQ(recorder.lines, expected);
+  EXPECT_EQ(delegate.events, expected);
 }
 
 }  // namespace
--- a/tests/operations/hot_restart_test.cpp
+++ b/tests/operations/hot_restart_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The hot restart between two processes of one gateway, and the state that the first hands over.
+/// The hot restart between two processes of one gateway, and the state that the predecessor hands over.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <unistd.h>
@@ -16,7 +16,7 @@
 namespace meadowyard::testing {
 namespace {
 
-// One process of a hot restart, which records what it is notified of.
+// The gateway of one process in a hot restart, which records its notifications.
 class FakeGateway : public operations::HotRestartDelegate {
  public:
   std::string SerializeState() override { return state; }
@@ -51,85 +51,90 @@
   std::vector<std::string> maintenance;
 };
 
-struct Folder {
-  Folder() {
+struct TemporaryFolder {
+  TemporaryFolder() {
     char name[] = "/tmp/meadowyard-XXXXXX";
     path = mkdtemp(name);
   }
-  ~Folder() {
+  ~TemporaryFolder() {
     std::remove(meadowyard::config::HandoverSocketPath(path, "x").c_str());
     rmdir(path.c_str());
   }
   std::string path;
 };
 
-// Guards the whole course of a change of version, with a state longer than one message.
-TEST(HotRestartCoordinator, PassesEverythingOnAndResumes) {
+// Guards against lost state, sockets, connections or maintenance changes in any step of a hot restart, and
+// against a gateway that doesn't resume after its successor exits. The state is longer than one message.
+TEST(HotRestartCoordinator, HandsOverAndResumesAfterTheSuccessorExits) {
   asio::io_context io;
-  Folder folder;
+  TemporaryFolder folder;
   const std::string path = meadowyard::config::HandoverSocketPath(folder.path, "x");
   EXPECT_FALSE(operations::RequestPredecessorState(path));
-  tcp::acceptor door(io, Loopback());
-  FakeGateway first;
-  FakeGateway second;
-  first.state = std::string(100000, 's') + "end";
-  first.listener = door.native_handle();
-  operations::HotRestartCoordinator old(io, path, operations::Descriptor(), first);
-  old.StartServing();
-  auto asked = std::async(std::launch::async, [&] { return operations::RequestPredecessorState(path); });
-  ASSERT_TRUE(
-      RunUntil(io, [&] { return asked.wait_for(std::chrono::seconds(0)) == std::future_status::ready; }));
-  auto predecessor = asked.get();
+  tcp::acceptor listening_socket(io, Loopback());
+  FakeGateway old_gateway;
+  FakeGateway new_gateway;
+  old_gateway.state = std::string(100000, 's') + "end";
+  old_gateway.listener = listening_socket.native_handle();
+  operations::HotRestartCoordinator old_coordinator(io, path, operations::Descriptor(), old_gateway);
+  old_coordinator.StartServing();
+  auto state_request =
+      std::async(std::launch::async, [&] { return operations::RequestPredecessorState(path); });
+  ASSERT_TRUE(RunUntil(
+      io, [&] { return state_request.wait_for(std::chrono::seconds(0)) == std::future_status::ready; }));
+  auto predecessor = state_request.get();
   ASSERT_TRUE(predecessor);
-  EXPECT_EQ(predecessor->state, first.state);
-  tcp::acceptor same(io, tcp::v4(), predecessor->client_listener.release());
-  EXPECT_EQ(same.local_endpoint(), door.local_endpoint());
-  EXPECT_FALSE(old.successor_serving()) << "it has not said yet that it serves";
+  EXPECT_EQ(predecessor->state, old_gateway.state);
+  tcp::acceptor adopted_listener(io, tcp::v4(), predecessor->client_listener.release());
+  EXPECT_EQ(adopted_listener.local_endpoint(), listening_socket.local_endpoint());
+  EXPECT_FALSE(old_coordinator.successor_serving()) << "the successor has not reported yet that it serves";
   {
-    operations::HotRestartCoordinator next(io, path, std::move(predecessor->channel), second);
-    next.StartServing();
-    ASSERT_TRUE(RunUntil(io, [&] { return first.successors_serving == 1; }));
-    int pair[2];
-    ASSERT_EQ(::socketpair(AF_UNIX, SOCK_STREAM, 0, pair), 0);
-    operations::Descriptor ours(pair[0]);
+    operations::HotRestartCoordinator new_coordinator(io, path, std::move(predecessor->channel), new_gateway);
+    new_coordinator.StartServing();
+    ASSERT_TRUE(RunUntil(io, [&] { return old_gateway.successors_serving == 1; }));
+    int socket_ends[2];
+    ASSERT_EQ(::socketpair(AF_UNIX, SOCK_STREAM, 0, socket_ends), 0);
+    operations::Descriptor kept_end(socket_ends[0]);
     {
-      operations::Descriptor passed(pair[1]);
-      EXPECT_TRUE(old.PassClientConnection("GET /", passed.get()));
-      EXPECT_TRUE(old.PassHostConnection({.host_id = "h1", .address = Loopback(9)}, passed.get()));
+      operations::Descriptor passed_end(socket_ends[1]);
+      EXPECT_TRUE(old_coordinator.PassClientConnection("GET /", passed_end.get()));
+      EXPECT_TRUE(
+          old_coordinator.PassHostConnection({.host_id = "h1", .address = Loopback(9)}, passed_end.get()));
     }
-    ASSERT_TRUE(
-        RunUntil(io, [&] { return second.hosts.size() == 1 && !second.predecessor_descriptors.empty(); }));
-    EXPECT_EQ(second.hosts[0], "h1@127.0.0.1:9");
-    EXPECT_EQ(second.predecessor_descriptors[0], 7u);
-    ASSERT_EQ(second.clients.size(), 1u);
-    EXPECT_EQ(second.clients[0].unread, "GET /");
+    ASSERT_TRUE(RunUntil(
+        io, [&] { return new_gateway.hosts.size() == 1 && !new_gateway.predecessor_descriptors.empty(); }));
+    EXPECT_EQ(new_gateway.hosts[0], "h1@127.0.0.1:9");
+    EXPECT_EQ(new_gateway.predecessor_descriptors[0], 7u);
+    ASSERT_EQ(new_gateway.clients.size(), 1u);
+    EXPECT_EQ(new_gateway.clients[0].unread, "GET /");
     char byte = 0;
-    EXPECT_EQ(::write(ours.get(), "x", 1), 1);
-    EXPECT_EQ(::read(second.clients[0].connection.get(), &byte, 1), 1);
-    old.ReplicateMaintenance({.host_id = "h1", .in_maintenance = true});
-    next.ReplicateMaintenance({.host_id = "h2", .in_maintenance = false});
-    ASSERT_TRUE(RunUntil(io, [&] { return !second.maintenance.empty() && !first.maintenance.empty(); }));
-    EXPECT_EQ(second.maintenance[0], "-h1");
-    EXPECT_EQ(first.maintenance[0], "+h2");
+    EXPECT_EQ(::write(kept_end.get(), "x", 1), 1);
+    EXPECT_EQ(::read(new_gateway.clients[0].connection.get(), &byte, 1), 1);
+    old_coordinator.ReplicateMaintenance({.host_id = "h1", .in_maintenance = true});
+    new_coordinator.ReplicateMaintenance({.host_id = "h2", .in_maintenance = false});
+    ASSERT_TRUE(
+        RunUntil(io, [&] { return !new_gateway.maintenance.empty() && !old_gateway.maintenance.empty(); }));
+    EXPECT_EQ(new_gateway.maintenance[0], "-h1");
+    EXPECT_EQ(old_gateway.maintenance[0], "+h2");
   }
-  ASSERT_TRUE(RunUntil(io, [&] { return first.successors_lost == 1; }));
-  EXPECT_FALSE(old.successor_serving());
-  EXPECT_FALSE(old.PassClientConnection("", 0));
+  ASSERT_TRUE(RunUntil(io, [&] { return old_gateway.successors_lost == 1; }));
+  EXPECT_FALSE(old_coordinator.successor_serving());
+  EXPECT_FALSE(old_coordinator.PassClientConnection("", 0));
 }
 
-// Guards what the module knows against a change of version: who is out, who is cold, and what was learned.
-TEST(HandoverState, CarriesWhatThePolicyLearned) {
+// Guards against state lost in a hot restart: hosts in maintenance, ejected hosts, hosts in slow start, and
+// the latencies and rates measured so far.
+TEST(HandoverState, PreservesTheLearnedState) {
   operations::HandoverState state;
   state.configuration = "{}";
   state.discovery_address = "127.0.0.1:1";
   state.hosts.revision = 41;
-  Endpoint server;
-  server.id = "h0";
-  server.zone = "a";
-  server.cell = "3";
-  server.state = EndpointState::kDraining;
-  server.started_at = 12.5;
-  state.hosts.endpoints.push_back({server, Loopback(80)});
+  Endpoint draining_endpoint;
+  draining_endpoint.id = "h0";
+  draining_endpoint.zone = "a";
+  draining_endpoint.cell = "3";
+  draining_endpoint.state = EndpointState::kDraining;
+  draining_endpoint.started_at = 12.5;
+  state.hosts.endpoints.push_back({draining_endpoint, Loopback(80)});
   state.revision_known = true;
   state.descriptors = 9;
   state.learned.endpoints.push_back({"h0", 1.5, 2, 3, 0.25, 0.1, 7, true, true, -1e15, 99, 0.5});
--- a/tests/operations/settings_reloader_test.cpp
+++ b/tests/operations/settings_reloader_test.cpp
@@ -1,4 +1,5 @@
-// Settings that change while the gateway serves: which files are taken, and what becomes of requests.
+/// @file
+/// Reloading of the settings while the gateway serves: which files are accepted, and the effect on requests.
 #include "operations/settings_reloader.hpp"
 
 #include <gtest/gtest.h>
@@ -9,9 +10,9 @@
 namespace meadowyard::testing {
 namespace {
 
-// A configuration's file, and what becomes of it at each reload.
-struct Reloads {
-  Reloads() {
+// A configuration file with a reloader, which records the result of each reload.
+struct ReloadFixture {
+  ReloadFixture() {
     file = {{"seed", "5"},
             {"name", "n1"},
             {"listen", "127.0.0.1:0"},
@@ -19,12 +20,13 @@
             {"limits", {{"sockets", 300}}},
             {"settings", TestSettings()}};
     Write(file.dump());
-    settings.emplace(Variable(), meadowyard::config::LoadConfiguration(Variable()),
-                     operations::SettingsReloader::Callbacks{
-                         [this](const meadowyard::config::Configuration& config) { taken.push_back(config); },
-                         [this](const std::string& why) { refused.push_back(why); }});
+    settings.emplace(
+        Variable(), meadowyard::config::LoadConfiguration(Variable()),
+        operations::SettingsReloader::Callbacks{
+            [this](const meadowyard::config::Configuration& config) { accepted.push_back(config); },
+            [this](const std::string& reason) { rejected.push_back(reason); }});
   }
-  ~Reloads() { std::remove(path.c_str()); }
+  ~ReloadFixture() { std::remove(path.c_str()); }
 
   std::function<const char*(const char*)> Variable() const {
     return [this](const char* name) { return std::string(name) == "NODE_CONFIG" ? path.c_str() : nullptr; };
@@ -33,62 +35,63 @@
 
   const std::string path = ::testing::TempDir() + "meadowyard-live-" + std::to_string(getpid()) + ".json";
   nlohmann::json file;
-  std::vector<meadowyard::config::Configuration> taken;
-  std::vector<std::string> refused;
+  std::vector<meadowyard::config::Configuration> accepted;
+  std::vector<std::string> rejected;
   std::optional<operations::SettingsReloader> settings;
 };
 
-// Guards a gateway in service against files that were cut short or mistyped: each is turned down whole, by
-// one line that names the field.
-TEST(SettingsReloader, RejectsAFileThatCannotBeRight) {
-  Reloads reloads;
-  const std::string whole = reloads.file.dump();
-  const auto spoilt = [&](const char* path, const nlohmann::json& value) {
-    nlohmann::json file = reloads.file;
+// Guards a serving gateway against truncated files and mistakes in a field: each file is rejected without any
+// effect, with one line that names the field.
+TEST(SettingsReloader, RejectsInvalidFiles) {
+  ReloadFixture fixture;
+  const std::string valid_file = fixture.file.dump();
+  const auto with_value = [&](const char* path, const nlohmann::json& value) {
+    nlohmann::json file = fixture.file;
     file[nlohmann::json::json_pointer(path)] = value;
     return file.dump();
   };
-  const auto without = [&](const char* parent, const char* key) {
-    nlohmann::json file = reloads.file;
+  const auto without_key = [&](const char* parent, const char* key) {
+    nlohmann::json file = fixture.file;
     file[nlohmann::json::json_pointer(parent)].erase(key);
     return file.dump();
   };
   const std::vector<std::pair<std::string, std::string>> files = {
       {"", "NODE_CONFIG"},
-      {whole.substr(0, whole.size() / 2), "NODE_CONFIG"},
-      {whole + "}", "NODE_CONFIG"},
-      {without("", "settings"), "settings"},
-      {without("", "discovery"), "discovery"},
-      {without("/settings", "categories"), "settings.categories"},
-      {without("/settings/limits", "maxAttempts"), "settings.limits.maxAttempts"},
-      {without("/settings/categories/1", "idempotency"), "settings.categories.idempotency"},
-      {spoilt("/settings/categories", nlohmann::json::array()), "classes"},
-      {spoilt("/settings/categories/0/deadlineMs", 0), "deadlineMs"},
-      {spoilt("/settings/categories/1/deadlineMs", -5), "deadlineMs"},
-      {spoilt("/settings/categories/1/deadlineMs", "1500"), "deadlineMs"},
-      {spoilt("/settings/categories/2/deadlineMs", nullptr), "deadlineMs"},
-      {spoilt("/settings/limits/maxAttempts", 0), "maxAttempts"},
-      {spoilt("/settings/limits/maxAttempts", "four"), "maxAttempts"},
-      {spoilt("/settings/categories/1/name", "view"), "categories.name"},
-      {spoilt("/settings/categories/1/idempotency", "often"), "classes.idempotency"},
-      {spoilt("/settings/limits", 7), "settings.limits"},
+      {valid_file.substr(0, valid_file.size() / 2), "NODE_CONFIG"},
+      {valid_file + "}", "NODE_CONFIG"},
+      {without_key("", "settings"), "settings"},
+      {without_key("", "discovery"), "discovery"},
+      {without_key("/settings", "categories"), "settings.categories"},
+      {without_key("/settings/limits", "maxAttempts"), "settings.limits.maxAttempts"},
+      {without_key("/settings/categories/1", "idempotency"), "settings.categories.idempotency"},
+      {with_value("/settings/categories", nlohmann::json::array()), "classes"},
+      {with_value("/settings/categories/0/deadlineMs", 0), "deadlineMs"},
+      {with_value("/settings/categories/1/deadlineMs", -5), "deadlineMs"},
+      {with_value("/settings/categories/1/deadlineMs", "1500"), "deadlineMs"},
+      {with_value("/settings/categories/2/deadlineMs", nullptr), "deadlineMs"},
+      {with_value("/settings/limits/maxAttempts", 0), "maxAttempts"},
+      {with_value("/settings/limits/maxAttempts", "four"), "maxAttempts"},
+      {with_value("/settings/categories/1/name", "view"), "categories.name"},
+      {with_value("/settings/categories/1/idempotency", "often"), "classes.idempotency"},
+      {with_value("/settings/limits", 7), "settings.limits"},
   };
   for (const auto& [text, field] : files) {
     SCOPED_TRACE(field + ": " + text.substr(0, 60));
-    reloads.Write(text);
-    const std::size_t before = reloads.refused.size();
-    reloads.settings->Reload();
-    ASSERT_EQ(reloads.refused.size(), before + 1);
-    EXPECT_NE(reloads.refused.back().find(field), std::string::npos) << reloads.refused.back();
-    EXPECT_EQ(reloads.refused.back().find('\n'), std::string::npos);
+    fixture.Write(text);
+    const std::size_t rejected_before = fixture.rejected.size();
+    fixture.settings->Reload();
+    ASSERT_EQ(fixture.rejected.size(), rejected_before + 1);
+    EXPECT_NE(fixture.rejected.back().find(field), std::string::npos) << fixture.rejected.back();
+    EXPECT_EQ(fixture.rejected.back().find('\n'), std::string::npos);
   }
-  EXPECT_TRUE(reloads.taken.empty());
+  EXPECT_TRUE(fixture.accepted.empty());
 }
 
-// Guards what may change: classes come and go, lists may be absent, and new keys are no fault.
+// Guards against the rejection of valid changes: added and removed classes, absent optional fields, and
+// unknown keys.
 TEST(SettingsReloader, AcceptsAFileWithOtherClasses) {
-  Reloads reloads;
-  nlohmann::json file = reloads.file;
+  ReloadFixture fixture;
+  nlohmann::json file = fixture.file;
   auto& classes = file["settings"]["categories"];
   classes.push_back(classes[2]);
   classes[3]["name"] = "book";
@@ -96,50 +99,55 @@
   file["settings"]["limits"]["maxAttempts"] = 2;
   file["settings"]["limits"]["brandNew"] = 1;
   file.erase("seed");
-  reloads.Write(file.dump());
-  reloads.settings->Reload();
-  EXPECT_TRUE(reloads.refused.empty()) << reloads.refused.back();
-  ASSERT_EQ(reloads.taken.size(), 1u);
-  EXPECT_EQ(reloads.taken[0].settings.max_attempts, 2);
-  EXPECT_EQ(reloads.taken[0].settings.classes.back().name, "book");
+  fixture.Write(file.dump());
+  fixture.settings->Reload();
+  EXPECT_TRUE(fixture.rejected.empty()) << fixture.rejected.back();
+  ASSERT_EQ(fixture.accepted.size(), 1u);
+  EXPECT_EQ(fixture.accepted[0].settings.max_attempts, 2);
+  EXPECT_EQ(fixture.accepted[0].settings.classes.back().name, "book");
 }
 
-meadowyard::config::Configuration Changed(const World& world, const std::function<void(Settings&)>& change) {
+meadowyard::config::Configuration WithChangedSettings(const World& world,
+                                                      const std::function<void(Settings&)>& change) {
   meadowyard::config::Configuration config = world.config;
   change(config.settings);
   return config;
 }
 
-// Guards requests over a change of their class: one that is open keeps the class it came under, a client that
-// still asks the old way is understood for a moment, and the new rules bind what asks the new way.
+// Guards requests while their class changes: an open request keeps the settings under which it arrived, a
+// client that still sends the class's former method or key is accepted for a transition period, and the new
+// settings apply to requests that follow them.
 TEST(SettingsReloader, KeepsTheClassOfOpenRequests) {
   World world(2);
-  const auto open = world.Connect();
-  open->Send(ApiCall("r1"));
-  const auto sent = [&] { return world.host(0).requests.size() + world.host(1).requests.size(); };
-  ASSERT_TRUE(world.Until([&] { return sent() == 1; }));
-  world.gateway->Reload(Changed(world, [](Settings& s) {
-    s.classes[0].idempotency = Idempotency::kNonIdempotent;  // "view" was safe
-    s.classes.push_back(s.classes[2]);
-    s.classes.back().name = "book";
+  const auto open_client = world.Connect();
+  open_client->Send(ApiCall("r1"));
+  const auto count_sent_requests = [&] {
+    return world.host(0).requests.size() + world.host(1).requests.size();
+  };
+  ASSERT_TRUE(world.Until([&] { return count_sent_requests() == 1; }));
+  world.gateway->Reload(WithChangedSettings(world, [](Settings& new_settings) {
+    new_settings.classes[0].idempotency = Idempotency::kNonIdempotent;  // "view" was safe before
+    new_settings.classes.push_back(new_settings.classes[2]);
+    new_settings.classes.back().name = "book";
   }));
-  Peer& first = *world.hosts[world.host(0).requests.empty() ? 1 : 0];
-  first.requests[0].Answer(500, "");
-  ASSERT_TRUE(world.Until([&] { return sent() == 2; })) << "it was safe when it came: it may go out again";
-  const auto other = world.Connect();
-  other->Send(
+  Peer& first_host = *world.hosts[world.host(0).requests.empty() ? 1 : 0];
+  first_host.requests[0].Answer(500, "");
+  ASSERT_TRUE(world.Until([&] { return count_sent_requests() == 2; }))
+      << "safe when it arrived, so it may be retried";
+  const auto second_client = world.Connect();
+  second_client->Send(
       "POST /api HTTP/1.1\r\nReq-Id: r2\r\nReq-Kind: view\r\nReq-Deadline: 5000m\r\n"
       "Content-Length: 0\r\n\r\n");
-  ASSERT_TRUE(world.Until([&] { return sent() == 3; }));
+  ASSERT_TRUE(world.Until([&] { return count_sent_requests() == 3; }));
   for (const auto& host : world.hosts) {
-    for (const auto& taken : host->requests) {
-      if (taken.http["Req-Id"] == "r2") taken.Answer(500, "");
+    for (const auto& accepted : host->requests) {
+      if (accepted.http["Req-Id"] == "r2") accepted.Answer(500, "");
     }
   }
-  EXPECT_EQ(other->Await().result(), http::status::bad_gateway);  // may have run: not sent again
-  const auto added = world.Connect();
-  added->Send(ApiCall("r3", "book"));
-  EXPECT_TRUE(world.Until([&] { return sent() == 4; }));
+  EXPECT_EQ(second_client->Await().result(), http::status::bad_gateway);  // possibly executed: no retry
+  const auto third_client = world.Connect();
+  third_client->Send(ApiCall("r3", "book"));
+  EXPECT_TRUE(world.Until([&] { return count_sent_requests() == 4; }));
 }
 
 }  // namespace
