--- a/include/meadowyard/policy.hpp
+++ b/include/meadowyard/policy.hpp
@@ -161,7 +161,7 @@
   bool request_finished = false;  ///< The request has ended, with this outcome or before it.
   Millis latency = 0;             ///< Since StartAttempt.
   std::vector<double> load;       ///< Load report, one value per Settings::load_report_fields; may be empty.
-  bool not_replayable = false;    ///< It can't be sent again: its body is lost, or its client may be.
+  bool not_replayable = false;  ///< The request can't be sent again: its body is gone, or its client may be.
 };
 
 /// The number of tunnels through an endpoint that were started by the Policy of another process has changed.
@@ -258,7 +258,7 @@
   double untimely_share = 0;  ///< Smoothed share of outcomes that were not served within the objective.
   double failure_rate = 0;    ///< Smoothed share of failed attempts at endpoints that are not ejected.
   double warm_answers = 0;    ///< Answers from warm endpoints, exponentially decayed.
-  double warm_time = 0;       ///< Time in ms that warm endpoints were observed for, decayed likewise.
+  double warm_time = 0;       ///< Time in ms that warm endpoints were observed for, decayed the same way.
   double mean_latency = 0;    ///< Over all classes, smoothed, in ms.
   int samples = 0;            ///< Samples in mean_latency.
 };
--- a/src/decision/arrival_rate.hpp
+++ b/src/decision/arrival_rate.hpp
@@ -11,8 +11,8 @@
 
 class ArrivalRate {
  public:
-  /// `passed`: time since the last call.
-  void Decay(Millis passed) { per_ms_ *= std::exp(-passed / kTimeConstant); }
+  /// `elapsed`: time since the last call.
+  void Decay(Millis elapsed) { per_ms_ *= std::exp(-elapsed / kTimeConstant); }
   void CountRequest() { per_ms_ += 1 / kTimeConstant; }
   /// Requests per millisecond.
   [[nodiscard]] double per_ms() const { return per_ms_; }
--- a/src/decision/class_queues.cpp
+++ b/src/decision/class_queues.cpp
@@ -10,13 +10,15 @@
 constexpr double kMaxCredit = 4;  // requests; the credit of a class stays within +- this
 // Share of the time from a request's arrival to its latency objective that it may be queued.
 constexpr double kMaxWaitShare = 0.25;
-// The same for a request over its tenant's quota. Lower, so that it occupies a client only briefly.
+// The same for a request over its tenant's quota. Lower, so that its client waits only briefly for a
+// rejection.
 constexpr double kMaxWaitShareOverQuota = 0.05;
 constexpr double kMinQueueCapacity = 32;  // requests, per class
 constexpr double kMillisPerSecond = 1000;
 
 // When a queued request expires. A request that waits longer is dispatched with too little time left, misses
-// its objective, and so reduces the dispatch rate again. It must also be answered before the client gives up.
+// its objective, and so reduces the dispatch rate again. It must also be answered before the client stops
+// waiting.
 Millis QueueExpiry(const RequestState& request) {
   const double share = request.within_quota ? kMaxWaitShare : kMaxWaitShareOverQuota;
   return std::min(request.arrived_at + share * (request.objective_at - request.arrived_at),
--- a/src/decision/class_queues.hpp
+++ b/src/decision/class_queues.hpp
@@ -4,7 +4,7 @@
 /// A request that can't be dispatched at once waits for a token or an endpoint, for at most a fixed share
 /// of the time to its latency objective. The classes share the capacity by weight (smooth weighted round
 /// robin): each release adds the weight of every backlogged class to its credit, and the class with the most
-/// credit is selected and pays one credit for the release.
+/// credit is selected and its credit is reduced by one.
 #ifndef MEADOWYARD_DECISION_CLASS_QUEUES_HPP_
 #define MEADOWYARD_DECISION_CLASS_QUEUES_HPP_
 
@@ -21,8 +21,8 @@
 
 namespace meadowyard::decision {
 
-/// A queued request is answered at least this long before its client gives up, in milliseconds: the timer
-/// that sweeps the queues may be late by two intervals.
+/// A queued request is answered at least this long before its client stops waiting, in milliseconds: the
+/// timer that sweeps the queues may be late by two intervals.
 constexpr Millis kAnswerMargin = 20;
 
 class ClassQueues {
@@ -43,7 +43,7 @@
   void Add(RequestState& request);
   /// Queues a request for another attempt, ahead of requests without one.
   void AddRetry(RequestState& request);
-  /// Removes a request from its queue. No effect if it is not queued.
+  /// Removes a request from its queue. Idempotent: does nothing if the request is not queued.
   void Remove(RequestState& request);
 
   /// Reserves a slot for a request in the queues of its class. Returns null if a slot is free. Otherwise
--- a/src/decision/concurrency_limiter.hpp
+++ b/src/decision/concurrency_limiter.hpp
@@ -28,10 +28,11 @@
   /// limit is open to requests over their tenant's quota.
   [[nodiscard]] bool HasCapacity(const EndpointRecord& endpoint, bool within_quota, Millis now) const;
 
-  /// Adjusts the limit by the latency of an attempt, relative to the latency of the request's class.
+  /// Adjusts the limit after an attempt. `latency`: of the attempt, in milliseconds, divided by the relative
+  /// latency of the request's class.
   void Measure(EndpointRecord& endpoint, double latency, bool served);
-  /// Pauses an endpoint that has rejected a request for the time of one request. Rejections are fast and
-  /// leave the endpoint idle, so the load balancer would otherwise send it more and more requests.
+  /// Pauses an endpoint that has rejected a request. The pause lasts for its smoothed latency. Rejections are
+  /// fast and leave the endpoint idle, so the load balancer would otherwise send it more and more requests.
   void PauseAfterRejection(EndpointRecord& endpoint, Millis now) const;
   /// Rounds the limit again after an attempt has ended, and pauses the endpoint if its limit is below 1.
   void OnAttemptEnded(EndpointRecord& endpoint, Millis latency, Millis now);
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -10,7 +10,7 @@
 namespace meadowyard::decision {
 namespace {
 
-// Factor on the cost of an endpoint in another zone, as traffic between zones is charged for.
+// Factor on the cost of an endpoint in another zone, because traffic between zones is billed.
 constexpr double kCrossZoneCostFactor = 1.3;
 // Weight of the latency of an endpoint's kind, in samples of the endpoint's own latency.
 constexpr double kKindLatencySamples = 2;
@@ -66,8 +66,8 @@
   if (request.IsPinned()) {  // its endpoint may be outside the subset, or the last one tried
     if (!IsHashOf(request.pinned_endpoint, endpoint.hash)) return false;
   } else {
-    const bool was_last = !request.attempts.empty() && request.attempts.back().endpoint == &endpoint;
-    if (!endpoint.in_subset || was_last) return false;
+    const bool was_last_tried = !request.attempts.empty() && request.attempts.back().endpoint == &endpoint;
+    if (!endpoint.in_subset || was_last_tried) return false;
   }
   if (!IsAllowed(request, endpoint, now)) return false;
   const int occupied = endpoint.tunnels + endpoint.in_flight;
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -18,8 +18,8 @@
 constexpr Millis kMaxProbeInterval = 4000;   // ms
 // Probe intervals in a row that a gateway leaves to the other gateways at most.
 constexpr int kMaxIntervalsLeftToOthers = 8;
-constexpr double kMinIntervalFactor = 0.75;   // a probe interval is multiplied by at least this ...
-constexpr double kIntervalFactorRange = 0.5;  // ... and at random by up to this much more
+constexpr double kMinIntervalFactor = 0.75;   // lower bound of the random factor on a probe interval
+constexpr double kIntervalFactorRange = 0.5;  // width of the range of that factor
 // Time in ms for which an endpoint's recovery is reported to other gateways. Repeated reports of an endpoint
 // that arrive within this time of each other are of the same recovery.
 constexpr Millis kRecoveryReportDuration = 2000;
--- a/src/decision/poll_schedule.hpp
+++ b/src/decision/poll_schedule.hpp
@@ -12,7 +12,7 @@
 /// Polls once at the start, and again after each failure with exponential backoff and jitter.
 class PollSchedule {
  public:
-  /// All arguments must outlive it.
+  /// All arguments must outlive this object.
   PollSchedule(const Settings& settings, RandomSource& random) : settings_(settings), random_(random) {}
 
   /// Whether a poll is due. If so, the caller must poll, and no further poll is due until OnFailure.
--- a/src/decision/rate_controller.cpp
+++ b/src/decision/rate_controller.cpp
@@ -39,7 +39,7 @@
   return kDispatchRateTimeConstant * (subset_.IsHeavilyShared() ? kSharedTimeConstantFactor : 1);
 }
 
-void RateController::Advance(Millis now, Millis passed) {
+void RateController::Advance(Millis now, Millis elapsed) {
   const int endpoints = registry_.up_count();
   const bool is_first_rate = token_rate_ <= 0 && endpoints > 0;
   if (is_first_rate) {
@@ -52,9 +52,9 @@
   if (is_first_rate) {
     bucket_.Fill(token_rate_);
   } else {
-    bucket_.Refill(token_rate_, passed);
+    bucket_.Refill(token_rate_, elapsed);
   }
-  dispatch_rate_ *= std::exp(-passed / DispatchRateTimeConstant());
+  dispatch_rate_ *= std::exp(-elapsed / DispatchRateTimeConstant());
 }
 
 void RateController::OnDispatch() {
--- a/src/decision/rate_controller.hpp
+++ b/src/decision/rate_controller.hpp
@@ -21,8 +21,8 @@
                  const EndpointRegistry& registry, ActionWriter& actions)
       : membership_(membership), subset_(subset), registry_(registry), actions_(actions) {}
 
-  /// Refills the token bucket and decays the smoothed dispatch rate. `passed`: time since the last call.
-  void Advance(Millis now, Millis passed);
+  /// Refills the token bucket and decays the smoothed dispatch rate. `elapsed`: time since the last call.
+  void Advance(Millis now, Millis elapsed);
   /// Whether an attempt may be sent now.
   [[nodiscard]] bool HasToken() const { return bucket_.HasToken(); }
   /// Consumes the token of an attempt that is being sent.
--- a/src/decision/request_processor.cpp
+++ b/src/decision/request_processor.cpp
@@ -13,9 +13,9 @@
 constexpr double kTimeBudgetSampleWeight = 0.04;
 // Weight of a sample below the time budget if clients don't mark retries: such a sample may be a retry.
 constexpr double kFallingTimeBudgetSampleWeight = kTimeBudgetSampleWeight / 4;
-// A request that has less than this share of the time budget left is taken as a retry.
+// A request that has less than this share of the time budget left is assumed to be a retry.
 constexpr double kMinFirstAttemptBudgetShare = 0.95;
-// Times the class's latency: a time-out after less is no evidence about the endpoint.
+// A time-out after less than this multiple of the class's latency is no evidence about the endpoint.
 constexpr double kMinInformativeTimeoutFactor = 2;
 constexpr Millis kMinRetryAfter = 10;  // ms; a Retry-After of 0 would not tell the client when to retry
 constexpr Millis kMinTimeout = 1;      // ms
@@ -50,7 +50,7 @@
   const bool is_marked_retry = mechanisms_.settings.clients_mark_retries && event.is_retry;
   const bool is_late_retry = IsLateRetry(*traffic_class, time_left, is_marked_retry);
   // A late retry is treated like a request over its tenant's quota. At full priority, late retries would use
-  // up capacity for answers that come too late, which would keep the congestion going.
+  // up capacity for answers that come too late, which would prolong the congestion.
   request.within_quota = !is_late_retry && mechanisms_.quotas.Admit(event.tenant, is_marked_retry, now);
   retry_budget_.Earn();
   if (IsRejectedOnArrival(request, is_late_retry && is_marked_retry, now)) return SendFinalAnswer(request);
@@ -97,10 +97,10 @@
 bool RequestProcessor::IsRejectedOnArrival(const RequestState& request, bool is_late_marked_retry,
                                            Millis now) const {
   const TrafficClassSettings& settings = mechanisms_.classes[request.class_index].settings;
-  const bool has_no_value = is_late_marked_retry && settings.late_weight <= 0;
+  const bool answer_has_no_value = is_late_marked_retry && settings.late_weight <= 0;
   // The sweep that would answer the request may run only after the client's deadline.
   const bool expires_before_answer = now >= request.deadline_at - kAnswerMargin;
-  return has_no_value || expires_before_answer || mechanisms_.zones.ExceedsCapacity(request);
+  return answer_has_no_value || expires_before_answer || mechanisms_.zones.ExceedsCapacity(request);
 }
 
 // When all connections of the gateway are in use, a dispatched attempt would end as kNotSent, which costs a
@@ -273,8 +273,8 @@
   mechanisms_.queues.AddRetry(request);
 }
 
-// Sends the final answer to a request with no attempt in flight: a Reject if a retry by the client can't
-// cause a second execution that matters, otherwise a Fail.
+// Sends the final answer to a request with no attempt in flight: a Reject if a retry by the client is safe,
+// because the request was never executed or because a repeat is harmless or is dropped; otherwise a Fail.
 void RequestProcessor::SendFinalAnswer(RequestState& request) {
   const TrafficClassSettings& settings = mechanisms_.classes[request.class_index].settings;
   const bool repeats_are_dropped =
--- a/src/decision/request_processor.hpp
+++ b/src/decision/request_processor.hpp
@@ -53,7 +53,7 @@
 
   /// Dispatches queued requests while there are tokens and endpoints with capacity.
   void DispatchQueued(Millis now);
-  /// Sends the final answer to the requests that have waited in a queue for as long as they may.
+  /// Sends the final answer to the requests whose maximum time in a queue has expired.
   void ExpireQueued(Millis now);
 
   /// Whether the open request with this id may still be sent to an endpoint; true if there is no such
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -34,8 +34,8 @@
 }
 
 // A gateway that has lost the majority does not exceed the rate that it measured while in contact with it:
-// the clients of unreachable gateways may move here and raise the measured rate, while those gateways still
-// send requests to the warming endpoint.
+// the clients of unreachable gateways may switch to this gateway and raise the measured rate, while those
+// gateways still send requests to the warming endpoint.
 double SlowStart::ReferenceRate(Millis now) const {
   if (!membership_.knows_peers() || membership_.HasQuorum(now)) return reference_rate_;
   return std::min(reference_rate_, reference_rate_at_quorum_);
--- a/src/decision/slow_start.hpp
+++ b/src/decision/slow_start.hpp
@@ -4,8 +4,8 @@
 /// A warming endpoint fails when all gateways together send it more than Settings::overload_multiple times
 /// its current capacity. Each gateway therefore sends it a request only against credit, which grows in
 /// proportion to the rate at which warm endpoints answer this gateway. The credit starts at a random fraction
-/// of a request: if every gateway started with a full one, hundreds of gateways would overload the endpoint
-/// at once.
+/// of a request: if every gateway started with credit for a whole request, hundreds of gateways would
+/// overload the endpoint at once.
 #ifndef MEADOWYARD_DECISION_SLOW_START_HPP_
 #define MEADOWYARD_DECISION_SLOW_START_HPP_
 
--- a/src/decision/subset_assignment.cpp
+++ b/src/decision/subset_assignment.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kInverseGoldenRatio = 0.6180339887498949;
-// A sum of fractions may be slightly less than the integer that it stands for.
+// A sum of fractions may be slightly less than the integer that it represents.
 constexpr double kRoundingTolerance = 1e-9;
 
 // The fractional part of a multiple of the golden ratio. Consecutive multiples are spread evenly from 0 to 1.
--- a/src/decision/tenant_quotas.hpp
+++ b/src/decision/tenant_quotas.hpp
@@ -38,14 +38,14 @@
     bool Take(double tokens_per_ms, Millis now);
   };
   struct Tenant {
-    double quota_per_s = 0;  // requests per second over all gateways; 0: unmetered
+    double quota_per_s = 0;  // requests per second over all gateways; 0: unlimited
     Bucket first_attempts;
     Bucket retries;
     double share_within_quota = 1;  // of its first attempts, smoothed
   };
 
   const GatewayMembership& membership_;
-  std::unordered_map<std::string, Tenant> tenants_;  // only looked up: the iteration order is unspecified
+  std::unordered_map<std::string, Tenant> tenants_;  // never iterated: the order is unspecified
 };
 
 }  // namespace meadowyard::decision
--- a/src/decision/token_bucket.hpp
+++ b/src/decision/token_bucket.hpp
@@ -11,9 +11,9 @@
 
 class TokenBucket {
  public:
-  /// Adds the tokens that `rate` (tokens per second) yields in `passed`, up to the bucket's capacity.
-  void Refill(double rate, Millis passed) {
-    tokens_ = std::min(tokens_ + rate * passed / kMillisPerSecond, CapacityAt(rate));
+  /// Adds the tokens that `rate` (tokens per second) yields in `elapsed`, up to the bucket's capacity.
+  void Refill(double rate, Millis elapsed) {
+    tokens_ = std::min(tokens_ + rate * elapsed / kMillisPerSecond, CapacityAt(rate));
   }
   /// Fills the bucket to its capacity at `rate` (tokens per second).
   void Fill(double rate) { tokens_ = CapacityAt(rate); }
--- a/src/decision/zone_weights.cpp
+++ b/src/decision/zone_weights.cpp
@@ -60,7 +60,7 @@
     for (const ZoneAgreement::Zone& zone : agreement.zones) AddZone(zone, zone.name == own_zone);
   }
 
-  // Performs one step: places overflow in zones of the same region, or in any zone.
+  // Performs one step: assigns overflow to zones of the same region, or to any zone.
   void Distribute(bool within_region) {
     const auto pool_of = [&](int region) { return within_region ? region : 0; };
     std::map<int, CapacityPool> pools;
@@ -76,15 +76,15 @@
     }
     const CapacityPool& own_pool = pools[pool_of(own_region_)];
     if (own_pool.overflow > 0) {
-      unplaced_share_ *= 1 - std::min(own_pool.overflow, own_pool.capacity) / own_pool.overflow;
+      unassigned_share_ *= 1 - std::min(own_pool.overflow, own_pool.capacity) / own_pool.overflow;
     }
   }
 
   // The share that no zone has capacity for stays in the own zone, unless that zone has failed (weight 0).
   ZoneWeights TakeResult() {
     double& own_weight = result_.weights.front().weight;
-    if (own_weight > 0) own_weight += std::exchange(unplaced_share_, 0);
-    result_.overflow_share = unplaced_share_;
+    if (own_weight > 0) own_weight += std::exchange(unassigned_share_, 0);
+    result_.overflow_share = unassigned_share_;
     return std::move(result_);
   }
 
@@ -107,29 +107,29 @@
          .extra_capacity_per_step = settings_.max_overflow * proportional_demand / 2,
          .region = region_entry != settings_.regions.end() ? region_entry->second : unique_region});
     if (!is_own) return;
-    unplaced_share_ = 1 - served_share;
+    unassigned_share_ = 1 - served_share;
     own_region_ = balances_.back().region;
     result_.weights.push_back({.zone = zone.name, .weight = served_share});
   }
 
-  // Subtracts from a zone the overflow that was placed and the capacity that was used in a step. If the own
+  // Subtracts from a zone the overflow that was assigned and the capacity that was used in a step. If the own
   // zone may send requests there in this step, adds the zone's weight to the result.
   void ApplyStep(ZoneBalance& balance, const CapacityPool& pool, bool is_reachable) {
-    const double placed = std::min(pool.overflow, pool.capacity);
-    if (placed <= 0) return;
-    balance.overflow -= placed * balance.overflow / pool.overflow;
+    const double assigned = std::min(pool.overflow, pool.capacity);
+    if (assigned <= 0) return;
+    balance.overflow -= assigned * balance.overflow / pool.overflow;
     if (balance.capacity <= 0) return;
     if (is_reachable) {
-      const double weight = unplaced_share_ * placed / pool.overflow * balance.capacity / pool.capacity;
+      const double weight = unassigned_share_ * assigned / pool.overflow * balance.capacity / pool.capacity;
       result_.weights.push_back({.zone = *balance.zone, .weight = weight});
     }
-    balance.capacity -= placed * balance.capacity / pool.capacity;
+    balance.capacity -= assigned * balance.capacity / pool.capacity;
   }
 
   const ZoneRoutingSettings& settings_;
   const Totals totals_;
   std::vector<ZoneBalance> balances_;
-  double unplaced_share_ = 1;  // share of the own zone's demand that has not been placed in a zone yet
+  double unassigned_share_ = 1;  // share of the own zone's demand that has not been assigned to a zone yet
   int own_region_ = 0;
   ZoneWeights result_;
 };
