--- a/include/meadowyard/policy.hpp
+++ b/include/meadowyard/policy.hpp
@@ -161,7 +161,8 @@
   bool request_finished = false;  ///< The request has ended, with this outcome or before it.
   Millis latency = 0;             ///< Since StartAttempt.
   std::vector<double> load;       ///< Load report, one value per Settings::load_report_fields; may be empty.
-  bool not_replayable = false;  ///< The request can't be sent again: its body is gone, or its client may be.
+  /// The request can't be sent again: its body is no longer available, or its client may have disconnected.
+  bool not_replayable = false;
 };
 
 /// The number of tunnels through an endpoint that were started by the Policy of another process has changed.
--- a/src/decision/concurrency_limiter.cpp
+++ b/src/decision/concurrency_limiter.cpp
@@ -101,7 +101,8 @@
       may_grow ? kGrowthPerSquareRoot * std::sqrt(limit / subset_.gateways_per_endpoint()) : 0;
   const double target = limit * gradient + growth;
   const bool is_limit_used = 2.0 * (endpoint.in_flight + 1) >= limit;
-  if (target > limit && !is_limit_used) return;  // unused limit: no evidence that a higher one is possible
+  // While the limit is not used, the latency is no evidence that the endpoint can process more requests.
+  if (target > limit && !is_limit_used) return;
   limit = std::max(MinLimit(), limit + (target - limit) / std::max(kMinSamplesToTarget, limit));
 }
 
--- a/tests/decision/characterization_test.cpp
+++ b/tests/decision/characterization_test.cpp
@@ -6,7 +6,7 @@
 /// A change that is meant to keep every decision (of names, structure or comments) must not change any of
 /// them. Only a commit that changes a decision intentionally, and says so in its message, may rewrite the
 /// file; with MEADOWYARD_WRITE_DIGESTS=FILE the test appends the digests to FILE. The texts of log entries
-/// are not part of the digests, only that and when an entry is logged.
+/// are not part of the digests, only whether and when an entry is logged.
 ///
 /// The digests are valid on x86-64 with the exp and log of the C library for processors with fused
 /// multiply-add.
--- a/tests/decision/claims_test.cpp
+++ b/tests/decision/claims_test.cpp
@@ -72,7 +72,8 @@
   }
 }
 
-// Guards against a client that occupies an endpoint for the time of a deadline far above that of its class.
+// Guards against a client that declares a deadline far above that of its class and occupies an endpoint until
+// then.
 TEST(ClientIsolation, AttemptTimeoutIsLimitedByTheDeadlineOfTheClass) {
   Settings settings = MakeSettings();
   settings.classes[0].late_weight = 0.5;  // attempts may last to the deadline
@@ -103,7 +104,7 @@
   EXPECT_EQ(driver.policy.CollectStats().unavailable, 0);
 }
 
-// Guards against ignoring time-outs of attempts with regular deadlines as well.
+// Guards against ignoring too many time-outs: those of attempts with regular deadlines must still count.
 TEST(ClientIsolation, TimeoutsOfRegularDeadlinesStillEjectTheEndpoint) {
   PolicyDriver driver;
   driver.ListEndpoints(2);
@@ -141,7 +142,7 @@
     driver.Advance(10000);
     const std::size_t sent_before = driver.sent.size();
     send_and_end(200, "served", AttemptResult::kServed);
-    // Requests are limited as to a new process, which the endpoint may be.
+    // The endpoint's process may be new, so slow start limits the requests.
     EXPECT_GT(driver.sent.size(), sent_before + 15) << traffic_class;
     EXPECT_EQ(driver.policy.CollectStats().unavailable, 0) << traffic_class;
   }
--- a/tests/decision/class_queues_test.cpp
+++ b/tests/decision/class_queues_test.cpp
@@ -36,7 +36,8 @@
   }
 }
 
-// Guards against a check of the first request only: the one behind it has the shorter deadline.
+// Guards against a sweep that checks only the first request of a queue: the one behind it has the shorter
+// deadline.
 TEST(ClassQueues, RequestQueuedBehindOneWithMoreTimeIsAnsweredBeforeItsOwnDeadline) {
   Settings settings = MakeSettings();
   settings.classes[0].late_weight = 0.5;
@@ -168,13 +169,13 @@
   }
 }
 
-// Guards against taking first attempts for late retries where all clients have shorter deadlines than their
+// Guards against treating first attempts as late retries where all clients have shorter deadlines than their
 // class allows.
 TEST(ClassQueues, FirstAttemptsWithShortDeadlinesAreNotTreatedAsRetries) {
   Settings settings = MakeSettings();
   settings.classes[0].late_weight = 0.5;
   PolicyDriver driver(settings);
-  driver.Arrive("short", "view", 900);  // all clients of this gateway give up early
+  driver.Arrive("short", "view", 900);  // all clients of this gateway have short deadlines
   driver.Arrive("longer", "view", 902);
   driver.Arrive("late", "view", 500);
   driver.Arrive("last", "view", 898);
--- a/tests/decision/event_handling_test.cpp
+++ b/tests/decision/event_handling_test.cpp
@@ -64,7 +64,7 @@
   }
 }
 
-// Guards against a division by an elapsed time of 0, and against queues that grow without a bound: each
+// Guards against a division by an elapsed time of 0, and against queues that grow without bound: each
 // request is dispatched, rejected at once, or queued and rejected when its wait time is over.
 TEST(EventHandling, BurstAtOneInstantIsDispatchedQueuedOrRejected) {
   PolicyDriver driver;
--- a/tests/decision/settings_test.cpp
+++ b/tests/decision/settings_test.cpp
@@ -11,8 +11,8 @@
 namespace meadowyard::testing {
 namespace {
 
-// Guards against a Policy that starts with settings it can't work with, and against errors that don't tell
-// the operator which field to correct.
+// Guards against a Policy that starts with settings it can't work with, and against errors that don't name
+// the field that the operator has to correct.
 TEST(SettingsValidation, InvalidSettingsAreRejectedWithTheNameOfTheField) {
   const auto error_text = [](auto apply_change) -> std::string {
     Settings changed_settings = MakeSettings();
@@ -46,8 +46,8 @@
 }
 
 // Guards requests against a change of settings: an open request must keep the idempotency that it arrived
-// with, and requests of a changed or removed class are still accepted for a short time, until clients have
-// the change.
+// with, and requests of a changed or removed class are still accepted for a short time, until clients
+// have applied the change.
 TEST(SettingsChange, AppliesToNewRequestsWhileOpenOnesKeepTheirClass) {
   Settings settings = MakeSettings();
   PolicyDriver driver(settings);
--- a/tests/decision/slow_start_fleet_test.cpp
+++ b/tests/decision/slow_start_fleet_test.cpp
@@ -29,15 +29,17 @@
 constexpr double kSlowStartFraction = 0.1;    // share of its capacity that an endpoint has when it starts
 constexpr Millis kSlowStartDuration = 22000;  // ms
 constexpr double kOverloadMultiple = 2;  // an endpoint fails when sent this multiple of its current capacity
-// Factor on the overload multiple with which the policies must exceed the budget, to show that the check
-// detects it. They stay so far below the budget that a factor of 6 exceeds it only just.
+// If the overload multiple is raised by this factor, the policies must exceed the budget: this shows that the
+// check detects an excess. A factor of 6 exceeds the budget only slightly, because the policies normally stay
+// far below it.
 constexpr double kExcessiveFactor = 20;
 constexpr Millis kBudgetWindow = 1500;    // ms over which the budget is checked
 constexpr Millis kEndpointStart = 6000;   // ms; until then the policies learn the rate of warm answers
 constexpr Millis kSimulatedTime = 14000;  // ms
 constexpr Millis kSweepInterval = 10;     // ms
 constexpr int kSeeds = 10;
-// Seeds of kSeeds that may exceed the bound by random variation; the bound allows for 2 standard deviations.
+// Number of the kSeeds seeds that may exceed the bound by random variation; the bound allows for 2 standard
+// deviations.
 constexpr int kMaxSeedsOverBound = 1;
 
 Settings SettingsFor(int gateways, int position, double overload_factor) {
@@ -174,8 +176,8 @@
   int request_count_ = 0;
 };
 
-// Each gateway knows only its own slow-start credit. Guards against credit that is small at each gateway, but
-// with which all of them together send the started endpoint so much that it fails.
+// Each gateway knows only its own slow-start credit. Guards against credit that is small at each gateway but
+// adds up to so many requests over all gateways that the started endpoint fails.
 class SlowStartFleet : public ::testing::TestWithParam<std::tuple<int, TrafficPattern>> {};
 
 TEST_P(SlowStartFleet, GatewaysTogetherStayWithinTheBudgetOfAStartedEndpoint) {
