--- a/include/meadowyard/policy.hpp
+++ b/include/meadowyard/policy.hpp
@@ -364,8 +364,8 @@
 /// Polls service discovery, which is answered by an EndpointUpdate. Only used with Settings::polls_endpoints.
 struct PollEndpoints {};
 
-/// Longest time in ms from a failed EndpointUpdate to the next PollEndpoints. Endpoint changes count as known
-/// to the gateway soon after service discovery is reachable again, so the backoff must not exceed this.
+/// Longest time in ms from a failed EndpointUpdate to the next PollEndpoints. The gateway is expected to know
+/// endpoint changes soon after service discovery is reachable again, so the backoff must not exceed this.
 constexpr Millis kMaxPollBackoff = 1500;
 
 /// An entry for the gateway's log.
--- a/src/decision/hashing.cpp
+++ b/src/decision/hashing.cpp
@@ -3,6 +3,8 @@
 namespace meadowyard::decision {
 namespace {
 
+// The standard FNV-1a offset basis without its last decimal digit. It must not be corrected: the hashes
+// define which endpoint a key goes to.
 constexpr std::uint64_t kFnvOffsetBasis = 1469598103934665603ULL;
 constexpr std::uint64_t kFnvPrime = 1099511628211ULL;
 constexpr std::uint64_t kFirstMixFactor = 0xff51afd7ed558ccdULL;
--- a/src/decision/load_report_tracker.cpp
+++ b/src/decision/load_report_tracker.cpp
@@ -11,7 +11,7 @@
 constexpr double kEndpointReportWeight = 0.3;
 constexpr double kKindReportWeight = kEndpointReportWeight / 3;
 constexpr double kMaxUtilization = 1.1;  // higher reports are clamped; noise may exceed 1
-// Utilization that is kept free, times the square root of the number of gateways.
+// The utilization that is kept free is this times the square root of the number of gateways.
 constexpr double kReservePerSquareRootOfGateways = 0.07;
 
 }  // namespace
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -16,8 +16,8 @@
 constexpr double kEjectionDeviations = 3;
 constexpr Millis kFirstProbeInterval = 300;  // ms; doubled for each further interval
 constexpr Millis kMaxProbeInterval = 4000;   // ms
-// Probe intervals in a row that a gateway leaves to the other gateways at most.
-constexpr int kMaxIntervalsLeftToOthers = 8;
+// A gateway probes after at most this many probe intervals; it may leave the earlier ones to others.
+constexpr int kMaxIntervalsUntilProbe = 8;
 constexpr double kMinIntervalFactor = 0.75;   // lower bound of the random factor on a probe interval
 constexpr double kIntervalFactorRange = 0.5;  // width of the range of that factor
 // Time in ms for which an endpoint's recovery is reported to other gateways. Repeated reports of an endpoint
@@ -105,7 +105,7 @@
         state.probe_interval * (kMinIntervalFactor + kIntervalFactorRange * random_.Uniform());
     state.probe_interval = std::min(state.probe_interval * 2, kMaxProbeInterval);
     ++intervals;
-    is_left_to_others = membership_.knows_peers() && intervals < kMaxIntervalsLeftToOthers &&
+    is_left_to_others = membership_.knows_peers() && intervals < kMaxIntervalsUntilProbe &&
                         random_.Uniform() * subset_.gateways_per_endpoint() >= 1;
   } while (is_left_to_others);
 }
--- a/src/decision/rate_controller.cpp
+++ b/src/decision/rate_controller.cpp
@@ -9,10 +9,11 @@
 namespace {
 
 constexpr double kMillisPerSecond = 1000;
-// Tokens/s per endpoint. Starts far above any real load, so that the rate limits nothing before a reduction.
+// Tokens/s per endpoint. Starts far above any real load, so that the rate is no limit before the first
+// reduction.
 constexpr double kInitialRatePerEndpoint = 1000;
 constexpr double kRateIncreasePerTimelyAnswer = 0.3;  // tokens/s, below the initial rate
-// Limits that increase to a share of the current rate, unless many gateways share an endpoint.
+// Upper bound of that increase as a share of the current rate; unused where many gateways share an endpoint.
 constexpr double kMaxIncreaseShareOfRate = 0.05;
 constexpr double kRateIncreasePerTimelyAnswerAboveInitial = 1;  // tokens/s, from the initial rate on
 // Limits the rate, where it exceeds the initial rate, to a multiple of the dispatch rate.
--- a/src/decision/slow_start.hpp
+++ b/src/decision/slow_start.hpp
@@ -4,7 +4,7 @@
 /// A warming endpoint fails when all gateways together send it more than Settings::overload_multiple times
 /// its current capacity. Each gateway therefore sends it a request only against credit, which grows in
 /// proportion to the rate at which warm endpoints answer this gateway. The credit starts at a random fraction
-/// of a request: if every gateway started with credit for a whole request, hundreds of gateways would
+/// of a request: if every gateway started with credit for a full request, hundreds of gateways would
 /// overload the endpoint at once.
 #ifndef MEADOWYARD_DECISION_SLOW_START_HPP_
 #define MEADOWYARD_DECISION_SLOW_START_HPP_
@@ -54,7 +54,7 @@
   const GatewayMembership& membership_;
   RandomSource& random_;
   double warm_answers_ = 0;    // count, exponentially decayed
-  double warm_time_ = 0;       // ms that each endpoint was warm times its weight, summed, decayed
+  double warm_time_ = 0;       // sum of the ms that each endpoint was warm times its weight, decayed
   double reference_rate_ = 0;  // answers per ms to this gateway by a warm endpoint of weight 1
   double reference_rate_at_quorum_ = kForever;  // reference_rate_ when last in contact with a majority
 };
--- a/src/decision/subset_selector.cpp
+++ b/src/decision/subset_selector.cpp
@@ -16,10 +16,10 @@
 // Above this number of gateways per endpoint no gateway keeps a concurrency limit for an endpoint: an eighth
 // of an endpoint's requests is too few samples to assess it.
 constexpr double kMaxGatewaysPerEndpointForLimits = 8;
-constexpr double kTargetGatewaysPerEndpoint = 40;  // target, if there are more gateways than this
+constexpr double kTargetGatewaysPerEndpoint = 40;  // fewer gateways each use all endpoints, unless multiplexed
 constexpr double kMinSubsetSize = 6;               // endpoints; several of them may fail at the same time
-// Factor for both if connections are multiplexed, and so stay open: endpoints with full connection tables
-// lose capacity.
+// Factor on both values above if connections are multiplexed. Such connections stay open, and endpoints with
+// full connection tables lose capacity.
 constexpr double kMultiplexedSubsetFactor = 0.5;
 constexpr int kDroppedHashBits = 11;  // a double represents the remaining 53 bits exactly
 
