--- a/src/decision/subset_selector.cpp
+++ b/src/decision/subset_selector.cpp
@@ -16,8 +16,9 @@
 // Above this number of gateways per endpoint no gateway keeps a concurrency limit for an endpoint: an eighth
 // of an endpoint's requests is too few samples to assess it.
 constexpr double kMaxGatewaysPerEndpointForLimits = 8;
-constexpr double kTargetGatewaysPerEndpoint = 40;  // fewer gateways each use all endpoints, unless multiplexed
-constexpr double kMinSubsetSize = 6;               // endpoints; several of them may fail at the same time
+// Fewer gateways than this each use all endpoints, unless connections are multiplexed.
+constexpr double kTargetGatewaysPerEndpoint = 40;
+constexpr double kMinSubsetSize = 6;  // endpoints; several of them may fail at the same time
 // Factor on both values above if connections are multiplexed. Such connections stay open, and endpoints with
 // full connection tables lose capacity.
 constexpr double kMultiplexedSubsetFactor = 0.5;
