--- a/src/app/edge_service.cpp
+++ b/src/app/edge_service.cpp
@@ -9,8 +9,8 @@
 namespace meadowyard::app {
 namespace {
 
-// The settings of a pool whose hosts the operators' file lists. It has one class and no tenants. Nothing is
-// known of other gateways in front of its hosts.
+// The settings of a pool whose hosts the operators' file lists. It has one class and no tenants. The
+// gateway has no information about other gateways in front of these hosts.
 Settings PoolSettings(const Settings& platform, const EdgeConfig& config) {
   Settings tunnel_settings = platform;
   tunnel_settings.classes = {config.tunnel};
--- a/src/app/serve.cpp
+++ b/src/app/serve.cpp
@@ -24,8 +24,8 @@
 
 const char* EnvironmentVariable(const char* name) { return std::getenv(name); }
 
-// For reloads. NODE_DISCOVERY is hidden, because it still has discovery's address of the process's start, and
-// the changed file has the current one.
+// For reloads. NODE_DISCOVERY is hidden, because it still holds discovery's address from the start of the
+// process, and the changed file has the current one.
 const char* EnvironmentVariableAtReload(const char* name) {
   return std::strcmp(name, "NODE_DISCOVERY") == 0 ? nullptr : EnvironmentVariable(name);
 }
--- a/src/app/service.hpp
+++ b/src/app/service.hpp
@@ -74,7 +74,7 @@
   struct StopTimes {
     /// New connections are accepted until then, because they continue to arrive for up to 400 ms.
     Millis accept_until = 500;
-    /// Open connections are served normally until then: their clients have no better gateway.
+    /// Open connections are served normally until then: no other gateway would serve their clients better.
     Millis serve_until = 2200;
     /// Requests that are unanswered at this time are failed.
     Millis answer_until = 3300;
--- a/src/app/stall_detector.hpp
+++ b/src/app/stall_detector.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Detects that the process was stalled: stopped by a signal, or not scheduled on a core for a while.
+/// Detects that the process was stalled: stopped by a signal, or not scheduled on a CPU for a while.
 #ifndef MEADOWYARD_APP_STALL_DETECTOR_HPP_
 #define MEADOWYARD_APP_STALL_DETECTOR_HPP_
 
--- a/src/core/budget.cpp
+++ b/src/core/budget.cpp
@@ -13,7 +13,8 @@
 constexpr std::size_t kAdminSockets = 20;
 // Share of the usable descriptors. Below half, because an attempt in flight holds one and its client another.
 constexpr double kHostConnectionShare = 0.45;
-// Share of all descriptors. Eviction starts below the third of them that clients' connections take at most.
+// Share of all descriptors; with more client sessions, idle ones are evicted. It is below one third, because
+// clients' connections take at most a third of all descriptors.
 constexpr double kIdleEvictionShare = 0.3;
 // Share of the memory; a body is buffered twice while it is forwarded.
 constexpr double kBodyMemoryShare = 0.15;
--- a/src/core/message.hpp
+++ b/src/core/message.hpp
@@ -78,7 +78,7 @@
     kServed,       // `response` is the host's
     kRejected,     // a retry is harmless; advised after `retry_after`, if that is above 0
     kFailed,       // it may or may not have been executed
-    kTimedOut,     // the same, because the client's timeout was about to expire
+    kTimedOut,     // may or may not have been executed; the client's timeout was about to expire
     kDuplicateId,  // another open request has this id; it was not accepted
   };
   Kind kind = Kind::kServed;
--- a/src/core/tunnel_endpoint.hpp
+++ b/src/core/tunnel_endpoint.hpp
@@ -12,12 +12,12 @@
 struct TunnelEndpoint {
   std::string endpoint;  // id of the host
   boost::asio::ip::tcp::socket socket;
-  std::string unread;  // bytes received from the host already, behind the parent proxy's handshake
+  std::string unread;  // bytes received from the host already, after the parent proxy's handshake
 };
 
 /// How a tunnel ended.
 enum class TunnelEnd {
-  kClosed,         // by either side, after any time
+  kClosed,         // by either side, at any time
   kFailedAtStart,  // reset by its host right after it was opened: counts as a failure of the host
   kHandedOver,     // to the successor process in a hot restart, which counts its end
 };
