--- a/src/edge/edge_config.cpp
+++ b/src/edge/edge_config.cpp
@@ -15,98 +15,101 @@
 constexpr double kMaxDurationMs = 24 * 3600 * 1000.0;  // 24 h
 constexpr std::size_t kMaxCredentialBytes = 255;       // RFC 1929, section 2
 
-TunnelProtocol ReadProtocol(TableReader& in, std::string_view key) {
-  const std::string text = in.ReadString(key);
+TunnelProtocol ReadProtocol(TableReader& reader, std::string_view key) {
+  const std::string text = reader.ReadString(key);
   if (text == "socks5") return TunnelProtocol::kSocks5;
   if (text == "connect") return TunnelProtocol::kConnect;
-  in.Fail(key, "'" + text + "' is neither socks5 nor connect");
+  reader.Fail(key, "'" + text + "' is neither socks5 nor connect");
 }
 
-std::string ReadName(TableReader& in, std::string_view key, std::size_t max_bytes = kMaxCredentialBytes) {
-  const std::string text = in.ReadString(key);
+std::string ReadName(TableReader& reader, std::string_view key, std::size_t max_bytes = kMaxCredentialBytes) {
+  const std::string text = reader.ReadString(key);
   if (text.empty() || text.size() > max_bytes)
-    in.Fail(key, "must have 1 to " + std::to_string(max_bytes) + " bytes");
+    reader.Fail(key, "must have 1 to " + std::to_string(max_bytes) + " bytes");
   return text;
 }
 
-void ReadTunnels(TableReader in, EdgeConfig& config) {
+void ReadTunnels(TableReader reader, EdgeConfig& config) {
   TrafficClassSettings& tunnel_class = config.tunnel;
-  tunnel_class.name = ReadName(in, "class");
+  tunnel_class.name = ReadName(reader, "class");
   tunnel_class.idempotency = Idempotency::kNonIdempotent;  // not sent again once a byte may have been sent
-  tunnel_class.latency_objective = in.ReadNumber("aim_ms", 2000, {.min = 1, .max = kMaxDurationMs});
-  tunnel_class.deadline = in.ReadNumber("open_within_ms", 5000, {.min = 100, .max = kMaxDurationMs});
+  tunnel_class.latency_objective = reader.ReadNumber("aim_ms", 2000, {.min = 1, .max = kMaxDurationMs});
+  tunnel_class.deadline = reader.ReadNumber("open_within_ms", 5000, {.min = 100, .max = kMaxDurationMs});
   if (tunnel_class.latency_objective > tunnel_class.deadline)
-    in.Fail("aim_ms", "is more than open_within_ms");
-  tunnel_class.priority_weight = in.ReadNumber("worth", 1, {.min = 0, .max = 1e6});
+    reader.Fail("aim_ms", "is more than open_within_ms");
+  tunnel_class.priority_weight = reader.ReadNumber("worth", 1, {.min = 0, .max = 1e6});
   TunnelLimits& tunnel_limits = config.limits;
-  tunnel_limits.most = in.ReadCount("most", tunnel_limits.most, {.min = 1, .max = 1e6});
+  tunnel_limits.most = reader.ReadCount("most", tunnel_limits.most, {.min = 1, .max = 1e6});
   tunnel_limits.most_per_address =
-      in.ReadCount("most_per_address", tunnel_limits.most, {.min = 1, .max = 1e6});
-  tunnel_limits.most_per_user = in.ReadCount("most_per_user", tunnel_limits.most, {.min = 1, .max = 1e6});
-  tunnel_limits.most_per_host = static_cast<int>(in.ReadCount("most_per_host", 0, {.min = 0, .max = 1e6}));
-  tunnel_limits.handshakes = in.ReadCount("handshakes", tunnel_limits.handshakes, {.min = 1, .max = 1e6});
+      reader.ReadCount("most_per_address", tunnel_limits.most, {.min = 1, .max = 1e6});
+  tunnel_limits.most_per_user = reader.ReadCount("most_per_user", tunnel_limits.most, {.min = 1, .max = 1e6});
+  tunnel_limits.most_per_host =
+      static_cast<int>(reader.ReadCount("most_per_host", 0, {.min = 0, .max = 1e6}));
+  tunnel_limits.handshakes = reader.ReadCount("handshakes", tunnel_limits.handshakes, {.min = 1, .max = 1e6});
   tunnel_limits.handshake_bytes =
-      in.ReadCount("handshake_bytes", tunnel_limits.handshake_bytes, {.min = 1024, .max = 65536});
+      reader.ReadCount("handshake_bytes", tunnel_limits.handshake_bytes, {.min = 1024, .max = 65536});
   tunnel_limits.handshake =
-      in.ReadNumber("handshake_ms", tunnel_limits.handshake, {.min = 50, .max = kMaxDurationMs});
-  tunnel_limits.idle = in.ReadNumber("idle_ms", tunnel_limits.idle, {.min = 100, .max = kMaxDurationMs});
+      reader.ReadNumber("handshake_ms", tunnel_limits.handshake, {.min = 50, .max = kMaxDurationMs});
+  tunnel_limits.idle = reader.ReadNumber("idle_ms", tunnel_limits.idle, {.min = 100, .max = kMaxDurationMs});
   tunnel_limits.drain_grace =
-      in.ReadNumber("drain_grace_ms", tunnel_limits.drain_grace, {.min = 0, .max = kMaxDurationMs});
-  tunnel_limits.parent = in.ReadNumber("parent_ms", tunnel_limits.parent, {.min = 50, .max = kMaxDurationMs});
-  in.Finish();
+      reader.ReadNumber("drain_grace_ms", tunnel_limits.drain_grace, {.min = 0, .max = kMaxDurationMs});
+  tunnel_limits.parent =
+      reader.ReadNumber("parent_ms", tunnel_limits.parent, {.min = 50, .max = kMaxDurationMs});
+  reader.Finish();
 }
 
-void ReadListener(TableReader& in, EdgeConfig& config) {
+void ReadListener(TableReader& reader, EdgeConfig& config) {
   EdgeListener listener;
-  listener.protocol = ReadProtocol(in, "protocol");
-  listener.address = in.ReadAddress("address");
-  listener.credentials = in.ReadBool("credentials", false);
+  listener.protocol = ReadProtocol(reader, "protocol");
+  listener.address = reader.ReadAddress("address");
+  listener.credentials = reader.ReadBool("credentials", false);
   const bool is_duplicate =
       std::any_of(config.listeners.begin(), config.listeners.end(), [&](const EdgeListener& other) {
         return other.address == listener.address && listener.address.port() != 0;
       });
-  if (is_duplicate) in.Fail("address", "is there twice");
+  if (is_duplicate) reader.Fail("address", "is there twice");
   config.listeners.push_back(listener);
 }
 
-void ReadUser(TableReader& in, EdgeConfig& config) {
+void ReadUser(TableReader& reader, EdgeConfig& config) {
   EdgeUser edge_user;
-  edge_user.name = ReadName(in, "name");
+  edge_user.name = ReadName(reader, "name");
   if (edge_user.name.find(':') != std::string::npos)
-    in.Fail("name", "may have no colon (RFC 7617, section 2)");
-  edge_user.password = ReadName(in, "password");
-  edge_user.tenant = in.ReadString("tenant", "");
+    reader.Fail("name", "may have no colon (RFC 7617, section 2)");
+  edge_user.password = ReadName(reader, "password");
+  edge_user.tenant = reader.ReadString("tenant", "");
   for (const EdgeUser& other : config.users) {
-    if (other.name == edge_user.name) in.Fail("name", "user '" + edge_user.name + "' is there twice");
+    if (other.name == edge_user.name) reader.Fail("name", "user '" + edge_user.name + "' is there twice");
   }
   config.users.push_back(edge_user);
 }
 
-void ReadHost(TableReader& in, EdgePool& pool) {
+void ReadHost(TableReader& reader, EdgePool& pool) {
   discovery::EndpointRecord host;
-  host.endpoint.id = ReadName(in, "id");
-  host.address = in.ReadAddress("address");
-  host.endpoint.weight = in.ReadNumber("weight", 1, {.min = 0.001, .max = 1000});
-  host.endpoint.zone = in.ReadString("hall", "");
-  host.endpoint.kind = in.ReadString("kind", pool.name);
+  host.endpoint.id = ReadName(reader, "id");
+  host.address = reader.ReadAddress("address");
+  host.endpoint.weight = reader.ReadNumber("weight", 1, {.min = 0.001, .max = 1000});
+  host.endpoint.zone = reader.ReadString("hall", "");
+  host.endpoint.kind = reader.ReadString("kind", pool.name);
   host.endpoint.cell = host.endpoint.id;
   for (const discovery::EndpointRecord& other : pool.hosts) {
     if (other.endpoint.id == host.endpoint.id)
-      in.Fail("id", "host '" + host.endpoint.id + "' is there twice");
+      reader.Fail("id", "host '" + host.endpoint.id + "' is there twice");
   }
   pool.hosts.push_back(std::move(host));
 }
 
-void ReadPool(TableReader& in, EdgeConfig& config) {
+void ReadPool(TableReader& reader, EdgeConfig& config) {
   EdgePool pool;
-  pool.name = ReadName(in, "name");
-  if (config.FindPool(pool.name) != nullptr) in.Fail("name", "pool '" + pool.name + "' is there twice");
-  pool.discovered = in.ReadBool("discovered", false);
-  in.ReadTables("host", [&](TableReader& host) { ReadHost(host, pool); });
+  pool.name = ReadName(reader, "name");
+  if (config.FindPool(pool.name) != nullptr) reader.Fail("name", "pool '" + pool.name + "' is there twice");
+  pool.discovered = reader.ReadBool("discovered", false);
+  reader.ReadTables("host", [&](TableReader& host) { ReadHost(host, pool); });
   if (pool.discovered && !pool.hosts.empty())
-    in.Fail("host", "a pool with discovered = true takes its hosts from discovery and may list none");
-  if (!pool.discovered && pool.hosts.empty()) in.Fail("host", "the pool has no host, and is not discovered");
-  if (auto parent = in.ReadTable("parent")) {
+    reader.Fail("host", "a pool with discovered = true takes its hosts from discovery and may list none");
+  if (!pool.discovered && pool.hosts.empty())
+    reader.Fail("host", "the pool has no host, and is not discovered");
+  if (auto parent = reader.ReadTable("parent")) {
     ParentProxy parent_proxy;
     parent_proxy.protocol = ReadProtocol(*parent, "protocol");
     parent_proxy.address = parent->ReadAddress("address");
@@ -124,9 +127,9 @@
   config.pools.push_back(std::move(pool));
 }
 
-void ReadPorts(TableReader& in, Pattern& pattern) {
-  if (!in.Has("ports")) return;
-  const std::string text = in.ReadString("ports");
+void ReadPorts(TableReader& reader, Pattern& pattern) {
+  if (!reader.Has("ports")) return;
+  const std::string text = reader.ReadString("ports");
   const char* const text_end = text.data() + text.size();
   auto [end, error] = std::from_chars(text.data(), text_end, pattern.first_port);
   pattern.last_port = pattern.first_port;
@@ -136,56 +139,56 @@
   }
   if (error != std::errc() || end != text_end || pattern.first_port == 0 ||
       pattern.last_port < pattern.first_port) {
-    in.Fail("ports", "'" + text + "' is neither a port such as \"443\" nor a span such as \"8000-8100\"");
+    reader.Fail("ports", "'" + text + "' is neither a port such as \"443\" nor a span such as \"8000-8100\"");
   }
 }
 
-void ReadTarget(TableReader& in, const EdgeConfig& config, Route& route) {
-  const bool deny = in.ReadBool("deny", false);
-  if (deny && (in.Has("pool") || in.Has("host")))
-    in.Fail("deny", "a route that denies has neither pool nor host");
+void ReadTarget(TableReader& reader, const EdgeConfig& config, Route& route) {
+  const bool deny = reader.ReadBool("deny", false);
+  if (deny && (reader.Has("pool") || reader.Has("host")))
+    reader.Fail("deny", "a route that denies has neither pool nor host");
   if (deny) return;
-  route.pool = in.ReadString("pool", "");
-  if (route.pool.empty()) in.Fail("pool", "missing: a route has a pool, or denies");
+  route.pool = reader.ReadString("pool", "");
+  if (route.pool.empty()) reader.Fail("pool", "missing: a route has a pool, or denies");
   const EdgePool* const pool = config.FindPool(route.pool);
-  if (pool == nullptr) in.Fail("pool", "no pool has the name '" + route.pool + "'");
+  if (pool == nullptr) reader.Fail("pool", "no pool has the name '" + route.pool + "'");
   route.kind = Route::Kind::kPool;
-  if (!in.Has("host")) return;
+  if (!reader.Has("host")) return;
   route.kind = Route::Kind::kHost;
-  route.host = ReadName(in, "host");
+  route.host = ReadName(reader, "host");
   const bool host_exists = pool->discovered || std::any_of(pool->hosts.begin(), pool->hosts.end(),
                                                            [&](const discovery::EndpointRecord& pool_host) {
                                                              return pool_host.endpoint.id == route.host;
                                                            });
-  if (!host_exists) in.Fail("host", "pool '" + route.pool + "' has no host '" + route.host + "'");
+  if (!host_exists) reader.Fail("host", "pool '" + route.pool + "' has no host '" + route.host + "'");
 }
 
-Route ReadRoute(TableReader& in, const EdgeConfig& config) {
+Route ReadRoute(TableReader& reader, const EdgeConfig& config) {
   Route route;
-  route.line = in.line();
-  route.name = ReadName(in, "name");
-  const int matcher_count = in.Has("to") + in.Has("suffix") + in.Has("network");
-  if (matcher_count != 1) in.Fail("to", "a route has one of to, suffix and network");
+  route.line = reader.line();
+  route.name = ReadName(reader, "name");
+  const int matcher_count = reader.Has("to") + reader.Has("suffix") + reader.Has("network");
+  if (matcher_count != 1) reader.Fail("to", "a route has one of to, suffix and network");
   std::string reason;
   Pattern& route_pattern = route.pattern;
-  if (in.Has("network")) {
-    const auto network = ParseNetwork(in.ReadString("network"), reason);
-    if (!network) in.Fail("network", reason);
+  if (reader.Has("network")) {
+    const auto network = ParseNetwork(reader.ReadString("network"), reason);
+    if (!network) reader.Fail("network", reason);
     route_pattern = *network;
   } else {
-    const std::string_view key = in.Has("to") ? "to" : "suffix";
-    std::string text = in.ReadString(key);
+    const std::string_view key = reader.Has("to") ? "to" : "suffix";
+    std::string text = reader.ReadString(key);
     if (key == "suffix" && text.starts_with('.')) text.erase(0, 1);
     const auto destination = MakeDestination(text, 1, reason);
-    if (!destination) in.Fail(key, reason);
+    if (!destination) reader.Fail(key, reason);
     if (key == "suffix" && destination->address)
-      in.Fail(key, "an address has no suffix; network is for those");
+      reader.Fail(key, "an address has no suffix; network is for those");
     route_pattern.kind = key == "to" ? Pattern::Kind::kExact : Pattern::Kind::kSuffix;
     route_pattern.name = destination->name;
     if (destination->address) route_pattern.network = *destination->address;
   }
-  ReadPorts(in, route_pattern);
-  ReadTarget(in, config, route);
+  ReadPorts(reader, route_pattern);
+  ReadTarget(reader, config, route);
   return route;
 }
 
@@ -202,35 +205,36 @@
   config.path = path;
   const toml::table root = config_file::ParseToml(text, path);
   config.text = std::move(text);
-  TableReader in(root, path, "");
-  auto tunnels = in.ReadTable("tunnels");
-  if (!tunnels) in.Fail("tunnels", "missing");
+  TableReader reader(root, path, "");
+  auto tunnels = reader.ReadTable("tunnels");
+  if (!tunnels) reader.Fail("tunnels", "missing");
   ReadTunnels(*tunnels, config);
-  in.ReadTables("listener", [&](TableReader& each) { ReadListener(each, config); });
-  in.ReadTables("user", [&](TableReader& each) { ReadUser(each, config); });
-  in.ReadTables("pool", [&](TableReader& each) { ReadPool(each, config); });
-  if (config.listeners.empty()) in.Fail("listener", "missing: at least one");
+  reader.ReadTables("listener", [&](TableReader& table_reader) { ReadListener(table_reader, config); });
+  reader.ReadTables("user", [&](TableReader& table_reader) { ReadUser(table_reader, config); });
+  reader.ReadTables("pool", [&](TableReader& table_reader) { ReadPool(table_reader, config); });
+  if (config.listeners.empty()) reader.Fail("listener", "missing: at least one");
   const bool needs_credentials =
       std::any_of(config.listeners.begin(), config.listeners.end(),
                   [](const EdgeListener& listener) { return listener.credentials; });
-  if (needs_credentials && config.users.empty()) in.Fail("user", "missing: a listener asks for credentials");
+  if (needs_credentials && config.users.empty())
+    reader.Fail("user", "missing: a listener asks for credentials");
   std::vector<Route> rules;
-  in.ReadTables("route", [&](TableReader& each) {
-    rules.push_back(ReadRoute(each, config));
+  reader.ReadTables("route", [&](TableReader& table_reader) {
+    rules.push_back(ReadRoute(table_reader, config));
     for (std::size_t i = 0; i + 1 < rules.size(); ++i) {
       if (rules[i].name == rules.back().name)
-        each.Fail("name", "route '" + rules[i].name + "' is there twice");
+        table_reader.Fail("name", "route '" + rules[i].name + "' is there twice");
     }
   });
-  auto default_table = in.ReadTable("default");
+  auto default_table = reader.ReadTable("default");
   if (!default_table)
-    in.Fail("default", "missing: set the pool for destinations that no route matches, or deny = true");
+    reader.Fail("default", "missing: set the pool for destinations that no route matches, or deny = true");
   Route default_route;
   default_route.name = "default";
   default_route.line = default_table->line();
   ReadTarget(*default_table, config, default_route);
   default_table->Finish();
-  in.Finish();
+  reader.Finish();
   config.routes = std::make_shared<const RouteTable>(std::move(rules), std::move(default_route));
   for (const RouteTable::Shadow& shadow : config.routes->Shadows()) {
     config.warnings.push_back(path + ":" + std::to_string(shadow.shadowed->line) + ": route '" +
--- a/src/fronts/http/client_server.cpp
+++ b/src/fronts/http/client_server.cpp
@@ -20,7 +20,7 @@
 using tcp = asio::ip::tcp;
 
 constexpr Millis kSweepInterval = 200;
-constexpr Millis kMaxLoopPassTime = 50;  // longest pass of the event loop that is not delayed
+constexpr Millis kMaxLoopPassTime = 50;  // a longer pass of the event loop counts as delayed
 constexpr int kMaxAcceptsPerEvent = 16;
 constexpr Millis kAcceptRetryDelay = 50;  // after a failed accept, for example without free descriptors
 
@@ -99,10 +99,10 @@
   return !accepting_ && acceptor_.is_open() && !hand_over_ && IsFull();
 }
 
-// Idle persistent connections count against the number that clients may open: above `eviction_threshold` they
-// keep further clients out, long before the session limit is reached here. No connection is closed for this
-// while the gateway is not ready: during a shutdown, the open connections are the only ones that clients have
-// left.
+// Idle persistent connections count against the number of connections that clients may open: above
+// `eviction_threshold` they prevent further clients from connecting, long before the session limit of this
+// server is reached. No connection is closed for this reason while the gateway is not ready: during a
+// shutdown, the open connections are the last ones that clients can use.
 bool ClientServer::IsAboveEvictionThreshold() const {
   return sessions_.size() > limits_.eviction_threshold && handlers_.is_ready();
 }
@@ -155,7 +155,7 @@
 
 void ClientServer::Sweep() {
   last_sweep_at_ = core::Now();
-  // Starts the timer first, so that the next sweep follows whatever happens in this one.
+  // Starts the timer first, so that the next sweep follows even if this one throws an exception.
   sweep_timer_.expires_after(core::ToDuration(kSweepInterval));
   sweep_timer_.async_wait([this](error_code ec) {
     if (!ec) Sweep();
--- a/src/fronts/http/client_server.hpp
+++ b/src/fronts/http/client_server.hpp
@@ -42,7 +42,7 @@
   struct Handlers {
     std::function<bool()> is_ready;
     std::function<bool()> has_memory;  // whether there is memory for another request
-    std::function<Policy::Admission(const std::string& class_name, Idempotency effect)> check_admission;
+    std::function<Policy::Admission(const std::string& class_name, Idempotency idempotency)> check_admission;
     std::function<void(core::ClientRequest)> on_request;
     /// The body of a dispatched request has been received completely.
     std::function<void(const std::string& id)> on_body_complete;
--- a/src/fronts/http/leave_watch.hpp
+++ b/src/fronts/http/leave_watch.hpp
@@ -1,4 +1,4 @@
-/// @file Detects that a client disconnects while its request is unanswered, whatever data it sent before.
+/// @file Detects that a client disconnects while its request is unanswered, even if it has sent further data.
 #ifndef MEADOWYARD_FRONTS_HTTP_LEAVE_WATCH_HPP_
 #define MEADOWYARD_FRONTS_HTTP_LEAVE_WATCH_HPP_
 
@@ -27,7 +27,7 @@
   struct Handlers {
     /// Its result is held during each asynchronous wait.
     std::function<std::shared_ptr<void>()> owner_reference;
-    /// Data behind the request has been read.
+    /// Data after the end of the request has been read.
     std::function<void()> on_data;
     std::function<void()> on_disconnect;
   };
--- a/src/fronts/http/request_reader.hpp
+++ b/src/fronts/http/request_reader.hpp
@@ -72,7 +72,7 @@
   std::string_view unread() const;
   /// Adds data that another process read from this connection.
   void Feed(std::string_view unread);
-  /// Reads available data behind the request until `max_bytes` are buffered (then without an error) or a read
+  /// Reads available data after the request until `max_bytes` are buffered (then without an error) or a read
   /// fails. Returns that error: would_block where no more data is available, or the reason of a disconnect.
   Error ReadAhead(std::size_t max_bytes);
 
--- a/src/fronts/http/request_rules.cpp
+++ b/src/fronts/http/request_rules.cpp
@@ -133,7 +133,7 @@
   if (!client_timeout_ms) return ErrorPage(400, "Req-Deadline is missing or malformed");
   request.client_timeout = *client_timeout_ms;
   // Method and Idempotency-Key determine whether a request may be repeated safely; its class has to declare
-  // the same, so that either of them is enough to tell.
+  // the same, so that either one is sufficient to decide.
   const bool is_get = head.method() == http::verb::get;
   const bool has_key = !values.idempotency.empty();
   request.idempotency = is_get    ? Idempotency::kIdempotent
--- a/src/fronts/http/request_rules.hpp
+++ b/src/fronts/http/request_rules.hpp
@@ -31,7 +31,8 @@
 std::string FormatHead(const Page& page, unsigned version, bool keep_alive,
                        std::optional<std::uint64_t> length, bool chunked);
 
-using AdmissionCheck = std::function<Policy::Admission(const std::string& class_name, Idempotency effect)>;
+using AdmissionCheck =
+    std::function<Policy::Admission(const std::string& class_name, Idempotency idempotency)>;
 using RequestHead = boost::beast::http::request_header<>;
 
 /// Validates `head` and fills in `request` from it; returns the error page if the request is not acceptable.
--- a/src/fronts/http/session.cpp
+++ b/src/fronts/http/session.cpp
@@ -194,8 +194,8 @@
   }
   if (!server_.handlers_.has_memory()) return SendPage(ErrorPage(503, "no memory for a request"));
   core::ClientRequest request;
-  if (auto fault = ParseRequestHead(head, server_.handlers_.check_admission, request))
-    return SendPage(std::move(*fault));
+  if (auto error_page = ParseRequestHead(head, server_.handlers_.check_admission, request))
+    return SendPage(std::move(*error_page));
   request.message.body = std::exchange(buffered_body_, {});
   request.received_at = seen_at > 0 ? seen_at : core::Now();
   request.earliest_sent_at = seen_at > 0 ? seen_at : EarliestSentAt();
@@ -266,7 +266,7 @@
   if (const auto upload = std::exchange(upload_, nullptr)) upload->Detach();
 }
 
-// Closes the session first, because the handler may look at the sessions of the server.
+// Closes the session first, because the handler may access the sessions of the server.
 void ClientServer::Session::OnClientDisconnected() {
   Close();
   server_.handlers_.on_client_left(id_);
--- a/src/http/messages.hpp
+++ b/src/http/messages.hpp
@@ -56,9 +56,9 @@
   });
 }
 
-/// How a head delimits its body (RFC 9112, section 6), checked more strictly than by the parser: that accepts
-/// some transfer codings and repeated lengths with which two recipients may see the body end at different
-/// places (request smuggling). kAmbiguous: such a head.
+/// How a head delimits its body (RFC 9112, section 6). kAmbiguous: a head with transfer codings or repeated
+/// lengths for which two recipients may see the body end at different places (request smuggling). This
+/// check is stricter than that of the parser, which accepts some of them.
 enum class Framing { kNone, kDelimited, kAmbiguous };
 
 template <typename Head>
--- a/src/upstream/connection.cpp
+++ b/src/upstream/connection.cpp
@@ -162,6 +162,7 @@
 
 void HostPool::Connection::OnTimeout() {
   if (deadline_ == kNoDeadline) return;
+  // Up to 0.5 ms early counts as expired: timers are rounded and may fire slightly before the deadline.
   if (core::Now() < deadline_ - 0.5) return ArmTimer(deadline_);
   if (!job_) {
     pool_.RemoveIdle(host_, this);
--- a/src/upstream/connection.hpp
+++ b/src/upstream/connection.hpp
@@ -47,7 +47,8 @@
   /// Ends the job, if there is one, with `result`, and closes the connection.
   void End(AttemptResult result);
   void Close();
-  /// Passes the connection on if the pool does so, otherwise adds it to the idle connections of its host.
+  /// Offers the connection to the pool's pass callback, if one is set. If the callback does not take it, adds
+  /// it to the idle connections of its host.
   void EnterIdle();
 
  private:
--- a/src/upstream/host_pool.hpp
+++ b/src/upstream/host_pool.hpp
@@ -43,7 +43,7 @@
   /// Applies a host list at once: a host that drains or is removed is sent nothing more, not even on a
   /// connection whose connect is in progress.
   void Update(const discovery::EndpointList& list);
-  /// Closes the idle connections to a host that is to get no requests for a while.
+  /// Closes the idle connections to a host that is temporarily not to receive requests.
   void CloseIdleConnections(const std::string& host);
   /// Applies changed timeouts of the configuration.
   void SetTimes(Millis dial_timeout, Millis idle_timeout);
@@ -59,7 +59,7 @@
   using Pass =
       std::function<bool(const std::string& host, const boost::asio::ip::tcp::endpoint& address, int fd)>;
   /// Offers all idle connections, and each that becomes idle from now on, to `pass`; the pool keeps those
-  /// that it does not take. Null: stops this.
+  /// that it does not take. Null ends this.
   void PassIdle(Pass pass);
   /// Takes ownership of a connection that another process passed on; closes it if it can't be used.
   void Adopt(const std::string& host, const boost::asio::ip::tcp::endpoint& address, int fd);
--- a/src/upstream/parent_handshake.cpp
+++ b/src/upstream/parent_handshake.cpp
@@ -46,8 +46,8 @@
   output_ += "\r\n";
 }
 
-std::optional<AttemptResult> ParentHandshake::Feed(std::string& in) {
-  return stage_ == Stage::kConnectResponse ? FeedConnectResponse(in) : FeedSocks(in);
+std::optional<AttemptResult> ParentHandshake::Feed(std::string& input) {
+  return stage_ == Stage::kConnectResponse ? FeedConnectResponse(input) : FeedSocks(input);
 }
 
 void ParentHandshake::WriteSocksRequest() {
@@ -65,14 +65,14 @@
   output_ += static_cast<char>(target_.port() & 255);
 }
 
-std::optional<AttemptResult> ParentHandshake::FeedSocks(std::string& in) {
-  const auto byte = [&](std::size_t i) { return static_cast<unsigned char>(in[i]); };
+std::optional<AttemptResult> ParentHandshake::FeedSocks(std::string& input) {
+  const auto byte = [&](std::size_t i) { return static_cast<unsigned char>(input[i]); };
   if (stage_ == Stage::kSocksMethod) {
-    if (in.size() < 2) return std::nullopt;
+    if (input.size() < 2) return std::nullopt;
     const unsigned char expected_method = parent_.user.empty() ? 0 : 2;
     if (byte(0) != 5) return AttemptResult::kConnectFailed;
     if (byte(1) != expected_method) return AttemptResult::kRejected;
-    in.erase(0, 2);
+    input.erase(0, 2);
     if (expected_method == 0) {
       WriteSocksRequest();
     } else {
@@ -83,34 +83,35 @@
     return std::nullopt;
   }
   if (stage_ == Stage::kSocksPassword) {
-    if (in.size() < 2) return std::nullopt;
+    if (input.size() < 2) return std::nullopt;
     if (byte(1) != 0) return AttemptResult::kRejected;
-    in.erase(0, 2);
+    input.erase(0, 2);
     WriteSocksRequest();
     return std::nullopt;
   }
-  if (in.size() < 5) return std::nullopt;
+  if (input.size() < 5) return std::nullopt;
   if (byte(0) != 5) return AttemptResult::kConnectFailed;
   const std::size_t address = byte(3) == 1 ? 4 : byte(3) == 4 ? 16 : byte(3) == 3 ? 1u + byte(4) : 0;
   if (address == 0) return AttemptResult::kConnectFailed;
   const AttemptResult result = ToAttemptResult(byte(1));
   if (result != AttemptResult::kServed) return result;
-  if (in.size() < 4 + address + 2) return std::nullopt;
-  in.erase(0, 4 + address + 2);
+  if (input.size() < 4 + address + 2) return std::nullopt;
+  input.erase(0, 4 + address + 2);
   return result;
 }
 
 // Any 2xx opens the tunnel and has no body (RFC 9110, section 9.3.6).
-std::optional<AttemptResult> ParentHandshake::FeedConnectResponse(std::string& in) {
-  const std::size_t end = in.find("\r\n\r\n");
+std::optional<AttemptResult> ParentHandshake::FeedConnectResponse(std::string& input) {
+  const std::size_t end = input.find("\r\n\r\n");
   if (end == std::string::npos) {
-    const bool is_not_http = in.size() >= 5 && !in.starts_with("HTTP/");
-    return is_not_http || in.size() > kMaxResponseHeadBytes ? std::optional(AttemptResult::kConnectFailed)
-                                                            : std::nullopt;
+    const bool is_not_http = input.size() >= 5 && !input.starts_with("HTTP/");
+    return is_not_http || input.size() > kMaxResponseHeadBytes ? std::optional(AttemptResult::kConnectFailed)
+                                                               : std::nullopt;
   }
-  if (!in.starts_with("HTTP/1.") || in.size() < 12 || in[8] != ' ') return AttemptResult::kConnectFailed;
-  const std::string status = in.substr(9, 3);
-  in.erase(0, end + 4);
+  if (!input.starts_with("HTTP/1.") || input.size() < 12 || input[8] != ' ')
+    return AttemptResult::kConnectFailed;
+  const std::string status = input.substr(9, 3);
+  input.erase(0, end + 4);
   if (status[0] == '2') return AttemptResult::kServed;
   const bool is_host_unreachable = status == "502" || status == "504";
   return is_host_unreachable ? AttemptResult::kConnectFailed : AttemptResult::kRejected;
--- a/src/upstream/parent_handshake.hpp
+++ b/src/upstream/parent_handshake.hpp
@@ -26,17 +26,17 @@
 
   /// Bytes to write now; empty if the parent's response is awaited.
   std::string TakeOutput() { return std::exchange(output_, {}); }
-  /// Consumes the parent's bytes from the front of `in`; bytes that remain after the handshake are the
+  /// Consumes the parent's bytes from the front of `input`; bytes that remain after the handshake are the
   /// host's. kServed: the tunnel is open. kRejected: the parent rejected it. kConnectFailed: the parent could
   /// not reach the host, or does not speak the protocol. In neither failure did the host get anything from
   /// the client. Empty: more input is needed.
-  std::optional<AttemptResult> Feed(std::string& in);
+  std::optional<AttemptResult> Feed(std::string& input);
 
  private:
   enum class Stage { kSocksMethod, kSocksPassword, kSocksReply, kConnectResponse };
   void WriteSocksRequest();
-  std::optional<AttemptResult> FeedSocks(std::string& in);
-  std::optional<AttemptResult> FeedConnectResponse(std::string& in);
+  std::optional<AttemptResult> FeedSocks(std::string& input);
+  std::optional<AttemptResult> FeedConnectResponse(std::string& input);
 
   const ParentAccess parent_;
   const boost::asio::ip::tcp::endpoint target_;
--- a/src/upstream/tunnel_dialer.cpp
+++ b/src/upstream/tunnel_dialer.cpp
@@ -109,8 +109,8 @@
 
   // The parent may send its responses to two steps in one segment.
   void OnBytesRead() {
-    for (std::size_t before = 0; before != input_.size();) {
-      before = input_.size();
+    for (std::size_t size_before = 0; size_before != input_.size();) {
+      size_before = input_.size();
       if (const auto result = handshake_->Feed(input_))
         return *result == AttemptResult::kServed ? Open() : End(*result);
     }
