--- a/src/coordination/cbor_reader.cpp
+++ b/src/coordination/cbor_reader.cpp
@@ -14,7 +14,7 @@
   json message;
   try {
     message = json::from_cbor(bytes.begin(), bytes.end(), true, false);
-  } catch (const std::exception&) {  // thrown with exceptions off, too: a declared length exceeds the memory
+  } catch (const std::exception&) {  // even without allow_exceptions: a declared length may exceed the memory
     throw ProtocolError("message is not well-formed CBOR");
   }
   if (!message.is_object()) throw ProtocolError("message is not a CBOR map");
@@ -62,7 +62,7 @@
 
 std::int64_t CborValue::Integer(std::int64_t min, std::int64_t max) const {
   if (!value_->is_number_integer()) Fail("an integer");
-  // A positive integer is stored as unsigned, and may be beyond what the result can hold.
+  // A positive integer is stored as unsigned, and may exceed the range of std::int64_t.
   if (value_->is_number_unsigned() &&
       value_->get<std::uint64_t>() > static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max())) {
     Fail("an integer in range");
--- a/src/coordination/endpoint_list_leader.cpp
+++ b/src/coordination/endpoint_list_leader.cpp
@@ -36,7 +36,8 @@
   }
 }
 
-// The leader watches discovery. A follower does so while no leader confirms its list, as without peers.
+// The leader watches discovery. A follower does so only while no leader confirms its list, as a gateway
+// without peers always does.
 void EndpointListLeader::UpdateDiscoveryWatch(Millis now) {
   const bool watches_discovery = lease_.IsHeld(now) || now - confirmed_at_ >= times_.leader_timeout;
   if (watches_discovery != std::exchange(watching_discovery_, watches_discovery))
@@ -68,8 +69,8 @@
     confirmed_at_ = now;
     return;
   }
-  // The list of a leader with an older revision would undo changes that are known here. Until the leader has
-  // caught up, this gateway watches discovery itself.
+  // The list of a leader with an older revision would undo changes that this gateway knows. Until the leader
+  // has caught up, this gateway watches discovery itself.
   if (revision_ && part.revision < *revision_) return;
   const bool is_applicable = part.parts > 0 && (part.complete || revision_ == part.base_revision);
   if (!is_applicable) {
@@ -77,7 +78,7 @@
     if (part.parts == 0) handlers_.send(from, EndpointListRequest{part.token});
     return;
   }
-  // Parts of other lists, and an earlier copy of this part.
+  // Parts of other lists and an earlier copy of this part are discarded.
   const auto is_superseded = [&](const EndpointListPart& stored_part) {
     return stored_part.token != part.token || stored_part.revision != part.revision ||
            stored_part.parts != part.parts || stored_part.complete != part.complete ||
@@ -143,7 +144,7 @@
   confirmed_at_ = now - times_.leader_timeout;
   recovery_until_ = now + times_.lease_backoff;
   lease_.Release(now + times_.lease_backoff);
-  watching_discovery_ = true;  // the caller has started to watch the new one
+  watching_discovery_ = true;  // the caller has started to watch the new discovery service
 }
 
 void EndpointListLeader::Stop(Millis) { lease_.Release(std::numeric_limits<Millis>::infinity()); }
--- a/src/coordination/endpoint_list_leader.hpp
+++ b/src/coordination/endpoint_list_leader.hpp
@@ -46,7 +46,7 @@
   void OnDiscoveryFailed(Millis now);
   /// Gives up the lease for good, for an orderly exit.
   void Stop(Millis now);
-  /// Discovery is at another address from now on: its revisions can't be compared with the previous ones.
+  /// The address of service discovery has changed: its revisions can't be compared with the previous ones.
   void OnDiscoveryReplaced(Millis now);
   /// Whether this gateway has to watch discovery itself.
   bool watches_discovery() const { return watching_discovery_; }
@@ -57,7 +57,7 @@
   void OnMessage(Millis now, int from, const Lease::Message& received);
   void OnMessage(Millis now, int from, const EndpointListPart& part);
   void OnMessage(Millis now, int from, const EndpointListRequest& request);
-  void OnMessage(Millis, int, const ZoneStateAnnouncement&) {}  // of the zone state role
+  void OnMessage(Millis, int, const ZoneStateAnnouncement&) {}  // belongs to the zone state role: ignored
   void OnMessage(Millis, int, const ZoneStateVote&) {}
   void SendEnvelopes(const std::vector<Lease::Envelope>& envelopes);
   void SendList(int to, const discovery::EndpointList& list, std::int64_t base_revision);
@@ -70,7 +70,7 @@
   std::optional<std::int64_t> revision_;  // of this gateway's list
   FencingToken highest_token_ = 0;        // highest token received from a leader
   int leader_ = -1;                       // sender of the last message with that token
-  Millis confirmed_at_;                   // when a leader last had this gateway's revision
+  Millis confirmed_at_;                   // when a leader last announced this gateway's revision
   // Parts are ignored until then: a restart loses the highest token, and a former leader may still send.
   Millis recovery_until_;
   bool watching_discovery_ = true;
--- a/src/coordination/lease.cpp
+++ b/src/coordination/lease.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr FencingToken kMaxGateways = 256;  // tokens are round * 256 + proposer's index
-constexpr Millis kNeverHeld = -1e15;
-constexpr double kMaxRetryJitter = 4;  // in retry intervals: random extra delay before a round, at most
+constexpr Millis kNeverHeld = -1e15;        // an instant before any other
+constexpr double kMaxRetryJitter = 4;       // in retry intervals: random extra delay before a round, at most
 
 }  // namespace
 
@@ -27,27 +27,27 @@
   // The grant to itself stays in force until it expires, as the other acceptors' grants do.
 }
 
-void Lease::Send(int to, const Message& message, Millis now, std::vector<Envelope>& out) {
-  if (to != self_) return out.push_back({to, message});
-  OnMessage(now, self_, message, out);
+void Lease::Send(int to, const Message& message, Millis now, std::vector<Envelope>& outgoing) {
+  if (to != self_) return outgoing.push_back({to, message});
+  OnMessage(now, self_, message, outgoing);
 }
 
-void Lease::Broadcast(const Message& message, Millis now, std::vector<Envelope>& out) {
+void Lease::Broadcast(const Message& message, Millis now, std::vector<Envelope>& outgoing) {
   for (int gateway = 0; gateway < gateways_; ++gateway) {
-    if (gateway != self_) Send(gateway, message, now, out);
+    if (gateway != self_) Send(gateway, message, now, outgoing);
   }
-  Send(self_, message, now, out);  // last: its own response may complete the majority
+  Send(self_, message, now, outgoing);  // last: its own response may complete the majority
 }
 
-void Lease::Tick(Millis now, double jitter, std::vector<Envelope>& out) {
+void Lease::Tick(Millis now, double jitter, std::vector<Envelope>& outgoing) {
   if (now < next_round_at_) return;
   const bool renewal_due = IsHeld(now) && held_until_ - now < times_.term / 2;
   const bool granted_to_other = now < granted_until_ && granted_to_ != self_;  // by this acceptor
   const bool available = !IsHeld(now) && !granted_to_other && now >= recovery_until_;
-  if (renewal_due || available) StartRound(now, jitter, out);
+  if (renewal_due || available) StartRound(now, jitter, outgoing);
 }
 
-void Lease::StartRound(Millis now, double jitter, std::vector<Envelope>& out) {
+void Lease::StartRound(Millis now, double jitter, std::vector<Envelope>& outgoing) {
   // A renewal does not compete with other proposers and needs no jitter. Other gateways call Tick at each
   // heartbeat, and equal heartbeat intervals would make their rounds collide again and again: the jitter
   // spreads rounds over several intervals.
@@ -57,10 +57,10 @@
   phase_ = Phase::kPreparing;
   promised_by_.clear();
   accepted_by_.clear();
-  Broadcast({Message::Type::kPrepareRequest, round_token_, 0, -1}, now, out);
+  Broadcast({Message::Type::kPrepareRequest, round_token_, 0, -1}, now, outgoing);
 }
 
-void Lease::OnMessage(Millis now, int from, const Message& message, std::vector<Envelope>& out) {
+void Lease::OnMessage(Millis now, int from, const Message& message, std::vector<Envelope>& outgoing) {
   using Type = Message::Type;
   ObserveToken(std::max(message.token, message.highest_promised));
   switch (message.type) {
@@ -68,15 +68,15 @@
     case Type::kProposeRequest:
       if (now < recovery_until_) return;
       if (message.token < promised_token_)
-        return Send(from, {Type::kReject, message.token, promised_token_, -1}, now, out);
+        return Send(from, {Type::kReject, message.token, promised_token_, -1}, now, outgoing);
       promised_token_ = message.token;
       if (message.type == Type::kPrepareRequest)
         return Send(from, {Type::kPrepareResponse, message.token, 0, now < granted_until_ ? granted_to_ : -1},
-                    now, out);
+                    now, outgoing);
       granted_token_ = message.token;
       granted_to_ = from;
       granted_until_ = now + times_.term * (1 + times_.max_clock_drift);
-      return Send(from, {Type::kProposeResponse, message.token, 0, from}, now, out);
+      return Send(from, {Type::kProposeResponse, message.token, 0, from}, now, outgoing);
     case Type::kPrepareResponse:
       if (phase_ != Phase::kPreparing || message.token != round_token_) return;
       if (message.owner >= 0 && message.owner != self_) return;
@@ -84,7 +84,7 @@
       if (!IsMajority(promised_by_)) return;
       phase_ = Phase::kProposing;
       proposed_until_ = now + times_.term * (1 - times_.max_clock_drift);
-      return Broadcast({Type::kProposeRequest, round_token_, 0, self_}, now, out);
+      return Broadcast({Type::kProposeRequest, round_token_, 0, self_}, now, outgoing);
     case Type::kProposeResponse:
       if (phase_ != Phase::kProposing || message.token != round_token_) return;
       accepted_by_.insert(from);
--- a/src/coordination/lease.hpp
+++ b/src/coordination/lease.hpp
@@ -5,10 +5,10 @@
 /// their rates must not deviate from real time by more than `max_clock_drift`.
 ///
 /// Every gateway is both a proposer, which requests the lease, and an acceptor, which grants it. An acceptor
-/// keeps to its grant for a term by its own clock, lengthened by the drift. The proposer counts the term from
-/// before it sends the proposal, shortened by the drift, so that its lease ends before the grants do. A
-/// gateway that starts grants nothing for a term, because it has lost its state and may have granted the
-/// lease before.
+/// upholds its grant for one term on its own clock, lengthened by the maximum drift. The proposer counts the
+/// term from before it sends the proposal, shortened by the maximum drift, so that its lease ends before the
+/// grants do. A gateway grants no lease for one term after its start, because it has lost its state and may
+/// have granted the lease before.
 #ifndef MEADOWYARD_COORDINATION_LEASE_HPP_
 #define MEADOWYARD_COORDINATION_LEASE_HPP_
 
@@ -29,15 +29,15 @@
 class Lease {
  public:
   struct Times {
-    Millis term = 3000;
+    Millis term = 3000;             ///< Duration of a lease.
     double max_clock_drift = 0.01;  ///< Maximum relative deviation of a clock's rate.
     Millis retry_interval = 500;    ///< Minimum time from one round to the next.
   };
   struct Message {
     enum class Type {
-      kPrepareRequest,   ///< Asks for a promise to `token`.
-      kPrepareResponse,  ///< Promise; `owner` holds the lease by the sender's grants (-1: none).
-      kProposeRequest,   ///< Asks to grant the lease to the sender.
+      kPrepareRequest,   ///< Requests a promise to reject tokens below `token`.
+      kPrepareResponse,  ///< Promise; `owner` holds the lease according to the sender's grants (-1: none).
+      kProposeRequest,   ///< Requests a grant of the lease to the sender.
       kProposeResponse,  ///< The lease is granted.
       kReject,           ///< `token` is below `highest_promised`, the highest that was promised or seen.
     };
@@ -47,7 +47,7 @@
 
     bool operator==(const Message&) const = default;
   };
-  /// A message and the index of the gateway that it goes to.
+  /// A message and the index of the gateway to send it to.
   struct Envelope {
     int to = 0;
     Message message;
@@ -55,23 +55,23 @@
 
   /// `self` is the index of this gateway among `gateways`. Tokens consist of a round and the proposer's
   /// index; rounds start above `initial_round`. It has to exceed the rounds that this gateway used before a
-  /// restart; a time of day in milliseconds does.
+  /// restart; a wall-clock time in milliseconds does.
   Lease(int self, int gateways, Times times, Millis now, FencingToken initial_round);
 
-  /// Handles a message of the gateway `from`, and appends the messages to send to `out`.
-  void OnMessage(Millis now, int from, const Message& message, std::vector<Envelope>& out);
+  /// Handles a message of the gateway `from`, and appends the messages to send to `outgoing`.
+  void OnMessage(Millis now, int from, const Message& message, std::vector<Envelope>& outgoing);
   /// To be called periodically: requests the lease when no holder is known, and renews it. `jitter`, a random
   /// number from 0 to 1, delays the next round so that proposers whose rounds collided do not collide again.
-  void Tick(Millis now, double jitter, std::vector<Envelope>& out);
+  void Tick(Millis now, double jitter, std::vector<Envelope>& outgoing);
   /// Gives up the lease at once, and does not request it again before `until`.
   void Release(Millis until);
 
   bool IsHeld(Millis now) const { return now < held_until_; }
   FencingToken token() const { return held_token_; }  ///< Valid while the lease is held.
   Millis held_until() const { return held_until_; }
-  /// The holder by this gateway's own lease and grants; -1: none known.
+  /// The holder according to this gateway's own lease and grants; -1: none known.
   int Owner(Millis now) const { return IsHeld(now) ? self_ : now < granted_until_ ? granted_to_ : -1; }
-  /// Notes a token that another gateway used, so that this gateway's next token is higher.
+  /// Records a token that another gateway used, so that this gateway's next token is higher.
   void ObserveToken(FencingToken token);
 
   /// The complete state: leases with equal state react equally to equal calls. For tests.
@@ -82,10 +82,12 @@
   }
 
  private:
-  void StartRound(Millis now, double jitter, std::vector<Envelope>& out);
-  void Send(int to, const Message& message, Millis now, std::vector<Envelope>& out);
-  void Broadcast(const Message& message, Millis now, std::vector<Envelope>& out);
-  bool IsMajority(const std::set<int>& from) const { return 2 * static_cast<int>(from.size()) > gateways_; }
+  void StartRound(Millis now, double jitter, std::vector<Envelope>& outgoing);
+  void Send(int to, const Message& message, Millis now, std::vector<Envelope>& outgoing);
+  void Broadcast(const Message& message, Millis now, std::vector<Envelope>& outgoing);
+  bool IsMajority(const std::set<int>& responders) const {
+    return 2 * static_cast<int>(responders.size()) > gateways_;
+  }
 
   int self_, gateways_;
   Times times_;
--- a/src/coordination/message_codec.cpp
+++ b/src/coordination/message_codec.cpp
@@ -125,7 +125,7 @@
     if (result.sender.empty() || result.sender.size() > kMaxNameLength) return std::nullopt;
     result.message = ReadMessage(fields);
     return result;
-  } catch (const std::exception&) {  // a field is missing, of another kind or out of range
+  } catch (const std::exception&) {  // a field is missing, of another type or out of range
     return std::nullopt;
   }
 }
--- a/src/coordination/message_codec.hpp
+++ b/src/coordination/message_codec.hpp
@@ -1,6 +1,7 @@
 /// @file
 /// The coordination messages of the lease-held roles and their wire format: a CBOR map (RFC 8949) with short
-/// keys. Gateways of different versions run side by side, so keys and kinds of values do not change.
+/// keys. Gateways of different versions run at the same time, so the keys and the types of their values must
+/// not change.
 #ifndef MEADOWYARD_COORDINATION_MESSAGE_CODEC_HPP_
 #define MEADOWYARD_COORDINATION_MESSAGE_CODEC_HPP_
 
@@ -52,7 +53,7 @@
 /// Each role has a lease of its own.
 enum class LeaseRole { kEndpointList, kZoneState };
 
-/// The datagram of a message; `from` is the sender's name in the peers file.
+/// Encodes a message as a datagram; `from` is the sender's name in the peers file.
 std::vector<std::uint8_t> ToBytes(const std::string& from, LeaseRole role,
                                   const CoordinationMessage& payload);
 struct ReceivedMessage {
@@ -60,8 +61,8 @@
   LeaseRole role = LeaseRole::kEndpointList;
   CoordinationMessage message;
 };
-/// Reads a datagram. Nothing if it is too long, not a coordination message, or if any field is missing, of
-/// another kind or out of range.
+/// Decodes a datagram. Returns nullopt if it is too long, is not a coordination message, or if any field is
+/// missing, of another type or out of range.
 std::optional<ReceivedMessage> DecodeMessage(const std::uint8_t* bytes, std::size_t size);
 
 }  // namespace meadowyard::coordination
--- a/src/coordination/zone_health_evaluator.cpp
+++ b/src/coordination/zone_health_evaluator.cpp
@@ -10,17 +10,17 @@
 
 constexpr double kLevelStep = 0.1;          // health levels are integer multiples of this
 constexpr double kMinDecrease = 0.2;        // smaller decreases are ignored, except a decrease to 0
-constexpr double kMaxIncrease = 0.3;        // per step
+constexpr double kMaxIncrease = 0.3;        // per increase
 constexpr double kMinTimelyShare = 0.9;     // below this share of timely attempts a zone counts as overloaded
 constexpr double kFailedBelowHealth = 0.3;  // a zone with a smaller share of its capacity counts as failed
 constexpr double kMinAttempts = 3;          // the timely share of fewer completed attempts is not significant
-constexpr Millis kCapacityDecayTime = 600000;      // time constant; removed endpoints are forgotten with it
+constexpr Millis kCapacityDecayTime = 600000;      // time constant with which removed endpoints stop counting
 constexpr double kMinRelativeDemandChange = 0.3;   // a smaller change of demand alone is not proposed
 constexpr Millis kMinDemandUpdateInterval = 5000;  // between proposals that change demand alone
 constexpr Millis kDemandRetention = 60000;  // a gateway's demand counts for this long after its last report
 constexpr double kMinDemandChange = 1;      // requests per second, in addition to the relative change
 
-// Limits a health to 0..1 and rounds it to a multiple of kLevelStep.
+// Clamps a health value to 0..1 and rounds it to a multiple of kLevelStep.
 double RoundToStep(double health) {
   return std::round(std::clamp(health, 0.0, 1.0) / kLevelStep) * kLevelStep;
 }
@@ -39,8 +39,8 @@
   std::map<std::string, Sum> local, remote;  // as reported by the gateways in the zone, and by all others
   std::map<std::string, Aggregate> aggregates;
   for (const auto& [gateway, observed] : reports_) {
-    // A gateway that is out of contact for the moment still has its clients: their demand returns when
-    // contact does.
+    // A gateway that is temporarily out of contact still has its clients, whose demand will be reported again
+    // when contact is restored.
     if (now - observed.received_at < kDemandRetention)
       aggregates[observed.report.zone].demand += observed.report.arrival_rate;
     if (now - observed.received_at >= times_.max_report_age) continue;
@@ -63,9 +63,9 @@
     history.capacity_updated_at = now;
     const Sum sum = local.contains(name) ? local[name] : remote[name];
     if (zone.full_capacity <= 0) {
-      zone.healthy = 0;  // all of its endpoints have left the list
+      zone.healthy = 0;  // all of its endpoints were removed from the endpoint list
     } else if (sum.reporters == 0) {
-      zone.healthy = 1;  // no evidence of a failure; gateways that send requests there will report one
+      zone.healthy = 1;  // no report of a failure: the gateways that send requests there would report one
     } else {
       zone.healthy = sum.healthy / sum.reporters / history.full_capacity;
       if (sum.attempts >= kMinAttempts) zone.timely = sum.timely / sum.attempts;
@@ -96,7 +96,7 @@
   if (decrease_wanted && zone.decrease_wanted_since == 0) zone.decrease_wanted_since = now;
   if (increase_wanted && zone.increase_wanted_since == 0) zone.increase_wanted_since = now;
   if (decrease_wanted && now - zone.decrease_wanted_since >= times_.decrease_delay) return target;
-  // The effect of the last step is visible by then.
+  // Whether the attempts already reflect the last change of health.
   const bool settled = now - health_changed_at_ >= times_.settling_time;
   if (increase_wanted && settled && now - zone.increase_wanted_since >= times_.increase_delay &&
       now >= zone.hold_down_until)
--- a/src/coordination/zone_health_evaluator.hpp
+++ b/src/coordination/zone_health_evaluator.hpp
@@ -35,7 +35,7 @@
   /// the hold-down time of each whose health decreased.
   void OnAgreement(Millis now, const std::vector<ZoneAgreement::Zone>& before,
                    const std::vector<ZoneAgreement::Zone>& after);
-  /// The zones to propose in place of `agreed`; nothing if no change is due, or if no more than half of the
+  /// The zones to propose in place of `agreed`; nullopt if no change is due, or if no more than half of the
   /// gateways have reported recently. To be called periodically by the lease holder.
   std::optional<std::vector<ZoneAgreement::Zone>> Evaluate(Millis now,
                                                            const std::vector<ZoneAgreement::Zone>& agreed);
@@ -53,7 +53,7 @@
     Millis hold_down_until = 0, hold_down = 0;
     bool increased_since_decrease = false;  // whether health was increased since its last decrease
   };
-  // What the recent reports say of one zone, taken together.
+  // The recent reports on one zone, combined.
   struct Aggregate {
     // Share of the full capacity that is available; weight of all endpoints; requests per second.
     double healthy = 0, full_capacity = 0, demand = 0;
--- a/src/coordination/zone_state_coordinator.hpp
+++ b/src/coordination/zone_state_coordinator.hpp
@@ -53,7 +53,7 @@
   void OnMessage(Millis now, int from, const Lease::Message& received);
   void OnMessage(Millis now, int from, const ZoneStateAnnouncement& received);
   void OnMessage(Millis now, int from, const ZoneStateVote& vote);
-  void OnMessage(Millis, int, const EndpointListPart&) {}  // of the endpoint list role
+  void OnMessage(Millis, int, const EndpointListPart&) {}  // belongs to the endpoint list role: ignored
   void OnMessage(Millis, int, const EndpointListRequest&) {}
   void SendEnvelopes(const std::vector<Lease::Envelope>& envelopes);
   void Broadcast(const CoordinationMessage& outgoing);
@@ -71,7 +71,7 @@
   std::set<int> voters_;
   Millis proposed_at_ = 0;
   FencingToken highest_token_ = 0;  // highest token in use, own or received
-  Millis recovery_until_;  // no votes until then: a restart loses the highest token that was followed
+  Millis recovery_until_;           // no votes until then: a restart loses the highest token in use
   std::uint64_t proposals_sent_ = 0, agreements_adopted_ = 0, messages_rejected_ = 0;
 };
 
