--- a/src/membership/heartbeat_codec.cpp
+++ b/src/membership/heartbeat_codec.cpp
@@ -93,7 +93,7 @@
   return report;
 }
 
-// Throws ProtocolError if a field is missing, of another kind or out of range.
+// Throws ProtocolError if a field is missing, of another type or out of range.
 Heartbeat Decode(const CborValue& message) {
   if (message.Field(kVersionKey).Unsigned() != kFormatVersion) throw ProtocolError("unknown version");
   Heartbeat heartbeat;
--- a/src/membership/membership_view.cpp
+++ b/src/membership/membership_view.cpp
@@ -113,8 +113,8 @@
   return heartbeat;
 }
 
-// A longer peers file of another member is in force here too, because its additional gateways may be running.
-// A shorter one is out of date.
+// A longer peers file of another member counts here too, because its additional gateways may be running. A
+// shorter one is out of date.
 int MembershipView::ConfiguredCount() const {
   int configured = static_cast<int>(members_.size());
   for (std::size_t i = 0; i < members_.size(); ++i) {
--- a/src/membership/peer_transport.hpp
+++ b/src/membership/peer_transport.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Sends and receives datagrams to and from the other gateways over one UDP socket. Independent of their
-/// contents.
+/// Sends and receives datagrams to and from the other gateways over one UDP socket. Doesn't interpret
+/// their contents.
 #ifndef MEADOWYARD_MEMBERSHIP_PEER_TRANSPORT_HPP_
 #define MEADOWYARD_MEMBERSHIP_PEER_TRANSPORT_HPP_
 
--- a/src/simulator/settings_parser.cpp
+++ b/src/simulator/settings_parser.cpp
@@ -10,9 +10,9 @@
 namespace meadowyard::simulator {
 namespace {
 
-constexpr std::size_t kMaxItems = 10000;  // of a list: a wild index must not use up the memory
+constexpr std::size_t kMaxItems = 10000;  // of a list: bounds the memory that an invalid index can allocate
 
-// How one key sets a field of a `Target`. `key` names it in errors.
+// The function that parses the value of one key into a field of `Target`. Error messages name the key.
 template <typename Target>
 struct KeyParser {
   std::string_view key;
@@ -118,7 +118,7 @@
   if (found != std::end(parsers)) found->parse(target, value, std::string(key).c_str());
 }
 
-// A list arrives as "categories.2.sloMs": it grows as its items come.
+// Returns the item of a list for a key such as "categories.2.sloMs", and lengthens the list if needed.
 template <typename Item>
 Item& ItemAt(std::vector<Item>& items, std::string_view index_text) {
   const auto index = ParseNumber<std::size_t>(index_text, "list index");
--- a/src/simulator/settings_parser.hpp
+++ b/src/simulator/settings_parser.hpp
@@ -9,8 +9,8 @@
 
 namespace meadowyard::simulator {
 
-/// Unknown keys are skipped; missing ones keep their defaults. Throws SimulatorProtocolError on a pair that
-/// is malformed, and ConfigurationError on a value that names nothing.
+/// Unknown keys are ignored; missing ones keep their defaults. Throws SimulatorProtocolError on a pair that
+/// is malformed, and ConfigurationError on an unknown idempotency or deduplication scope.
 Settings ParseSettings(const Words& pairs);
 
 }  // namespace meadowyard::simulator
--- a/src/simulator/simulator_main.cpp
+++ b/src/simulator/simulator_main.cpp
@@ -1,6 +1,7 @@
 /// @file
-/// meadowyard_simulator_adapter: the decision module on the simulator's wire, from standard input to standard
-/// output. Exit status 1, and one line on standard error, if the input is malformed.
+/// meadowyard_simulator_adapter: connects the decision module to the simulator, whose text protocol it reads
+/// from standard input and answers on standard output. If the input is malformed, it writes one line to
+/// standard error and exits with status 1.
 #include <unistd.h>
 
 #include <cerrno>
@@ -27,7 +28,7 @@
   return true;
 }
 
-// Reads standard input in lines and answers them.
+// Reads standard input line by line and writes the replies to standard output.
 class LineLoop {
  public:
   // Returns the exit status.
@@ -86,7 +87,7 @@
   }
 
   meadowyard::simulator::SimulatorSession session_;
-  std::string pending_;  // input that is no complete line yet
+  std::string pending_;  // input after the last complete line
   unsigned long long line_number_ = 0;
 };
 
--- a/src/simulator/simulator_protocol.cpp
+++ b/src/simulator/simulator_protocol.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::string_view kAbsent = "-";
-constexpr int kTimeDecimals = 3;
+constexpr int kTimeDecimals = 3;  // digits after the decimal point of a time in milliseconds
 
 // Result codes of the protocol.
 enum ResultCode {
@@ -21,19 +21,19 @@
   kNotSentCode = 80,
 };
 
-void AppendTime(std::string& out, Millis value) {
+void AppendTime(std::string& output, Millis value) {
   char buffer[32];
   const auto [end, error] =
       std::to_chars(buffer, buffer + sizeof buffer, value, std::chars_format::fixed, kTimeDecimals);
-  out.append(buffer, end);
+  output.append(buffer, end);
 }
 
-// The sentences are part of the protocol's output and stay as they are.
+// These texts are part of the protocol's output and must not change.
 std::string ToText(const Log& entry) {
   switch (entry.event) {
     case Log::Event::kEndpointEjected: return "server " + entry.endpoint + " not ready: failing";
     case Log::Event::kEndpointRestored: return "server " + entry.endpoint + " ready again";
-    case Log::Event::kMaintenanceStarted: return "server " + entry.endpoint + " left out by hand";
+    case Log::Event::kMaintenanceStarted: return "server " + entry.endpoint + " left output by hand";
     case Log::Event::kMaintenanceEnded: return "server " + entry.endpoint + " put back by hand";
     case Log::Event::kDispatchRateReduced: return "rate cut to " + std::to_string(entry.rate_per_s) + "/s";
   }
@@ -41,27 +41,27 @@
 }
 
 struct ActionPrinter {
-  std::string& out;
+  std::string& output;
 
   void operator()(const StartAttempt& action) {
-    out += "PASS_ON " + action.request + ' ' + action.endpoint + ' ';
-    AppendTime(out, action.timeout);
+    output += "PASS_ON " + action.request + ' ' + action.endpoint + ' ';
+    AppendTime(output, action.timeout);
   }
   void operator()(const Reject& action) {
-    out += "PUSH_BACK " + action.request + ' ';
-    AppendTime(out, action.retry_after);
+    output += "PUSH_BACK " + action.request + ' ';
+    AppendTime(output, action.retry_after);
   }
-  void operator()(const Fail& action) { out += "ERROR " + action.request; }
+  void operator()(const Fail& action) { output += "ERROR " + action.request; }
   void operator()(const CancelAttempt& action) {
-    out += "UNDO_SEND " + action.request + ' ' + std::to_string(action.attempt);
+    output += "UNDO_SEND " + action.request + ' ' + std::to_string(action.attempt);
   }
   void operator()(const SetTimer& action) {
-    out += "AFTER ";
-    AppendTime(out, action.delay);
-    out += ' ' + action.name;
+    output += "AFTER ";
+    AppendTime(output, action.delay);
+    output += ' ' + action.name;
   }
-  void operator()(const PollEndpoints&) { out += "LISTEN 1"; }
-  void operator()(const Log& entry) { out += "PRINT " + ToText(entry); }
+  void operator()(const PollEndpoints&) { output += "LISTEN 1"; }
+  void operator()(const Log& entry) { output += "PRINT " + ToText(entry); }
 };
 
 EndpointState ParseState(std::string_view health) {
@@ -140,9 +140,9 @@
   return endpoint;
 }
 
-void PrintAction(const Action& action, std::string& out) {
-  std::visit(ActionPrinter{out}, action);
-  out += '\n';
+void PrintAction(const Action& action, std::string& output) {
+  std::visit(ActionPrinter{output}, action);
+  output += '\n';
 }
 
 }  // namespace meadowyard::simulator
--- a/src/simulator/simulator_protocol.hpp
+++ b/src/simulator/simulator_protocol.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The text protocol of the simulator: lines of words that are separated by one space; "-" stands for a value
-/// that is absent.
+/// The text protocol of the simulator: lines of words that are separated by one space; "-" marks an absent
+/// value.
 #ifndef MEADOWYARD_SIMULATOR_SIMULATOR_PROTOCOL_HPP_
 #define MEADOWYARD_SIMULATOR_SIMULATOR_PROTOCOL_HPP_
 
@@ -21,7 +21,7 @@
 /// The words of a line, the parts of a key, the items of a list. Views into the text.
 using Words = std::vector<std::string_view>;
 
-/// A line that breaks the protocol; the text names the fault.
+/// A line that violates the protocol; what() describes the violation.
 class SimulatorProtocolError : public ProtocolError {
  public:
   using ProtocolError::ProtocolError;
@@ -32,13 +32,13 @@
 
 /// The word at `index`, or empty where it is absent or the line ends before it.
 std::string_view OptionalWord(const Words& words, std::size_t index);
-/// The same of a word that has to be there. Throws SimulatorProtocolError naming `what`.
+/// The word at `index`. Throws SimulatorProtocolError naming `what` if there is none.
 std::string_view RequiredWord(const Words& words, std::size_t index, const char* what);
 
-/// Throws SimulatorProtocolError naming `what`.
+/// Parses "1" or "true", "0" or "false". Throws SimulatorProtocolError naming `what` on any other text.
 bool ParseFlag(std::string_view text, const char* what);
 
-/// The number that a text consists of. Throws SimulatorProtocolError naming `what`.
+/// Parses the whole text as a number. Throws SimulatorProtocolError naming `what` if it is not a finite one.
 template <typename Number>
 Number ParseNumber(std::string_view text, const char* what) {
   Number value{};
@@ -51,11 +51,11 @@
   return value;
 }
 
-/// The number at `index`, or `otherwise` where it is absent.
+/// The number at `index`, or `default_value` where it is absent.
 template <typename Number>
-Number OptionalNumber(const Words& words, std::size_t index, const char* what, Number otherwise) {
+Number OptionalNumber(const Words& words, std::size_t index, const char* what, Number default_value) {
   const std::string_view text = OptionalWord(words, index);
-  return text.empty() ? otherwise : ParseNumber<Number>(text, what);
+  return text.empty() ? default_value : ParseNumber<Number>(text, what);
 }
 
 template <typename Number>
@@ -63,15 +63,15 @@
   return ParseNumber<Number>(RequiredWord(words, index, what), what);
 }
 
-/// An ENTRY line: one endpoint of a list.
+/// Parses an ENTRY line: one endpoint of a list.
 Endpoint ParseEndpoint(const Words& words);
-/// The result code of an attempt.
+/// Parses the result code of an attempt.
 AttemptResult ParseResult(std::string_view code);
-/// A load report; values that are absent are not a number.
+/// Parses a load report; absent values become NaN.
 std::vector<double> ParseLoad(std::string_view text);
 
 /// Appends an action as one line, with its newline.
-void PrintAction(const Action& action, std::string& out);
+void PrintAction(const Action& action, std::string& output);
 
 }  // namespace meadowyard::simulator
 
--- a/src/simulator/simulator_session.cpp
+++ b/src/simulator/simulator_session.cpp
@@ -11,7 +11,7 @@
 namespace meadowyard::simulator {
 namespace {
 
-constexpr unsigned kRetryOption = 2;  // bit of a request's options
+constexpr unsigned kRetryOption = 2;  // this bit of a request's options marks a retry
 
 std::string Quoted(std::string_view text) { return "'" + std::string(text) + "'"; }
 
@@ -160,7 +160,7 @@
   Deliver(started);
 }
 
-// The module sends no probes of its own: checked and dropped.
+// The decision module sends no probes of its own: the line is checked and ignored.
 void SimulatorSession::HandleProbeAnswer(const Words& words) {
   static_cast<void>(ParseResult(RequiredWord(words, 2, "rc")));
   static_cast<void>(OptionalNumber(words, 3, "costTimeMs", 0.0));
@@ -169,7 +169,7 @@
 
 void SimulatorSession::HandleCrash(const Words& /*words*/) { policies_.erase(*instance_); }
 
-// Gateways of the simulator share nothing: checked and dropped.
+// Simulated gateways exchange no messages: the line is checked and ignored.
 void SimulatorSession::HandleMessage(const Words& words) {
   static_cast<void>(RequiredNumber<std::int64_t>(words, 1, "by"));
 }
--- a/src/simulator/simulator_session.hpp
+++ b/src/simulator/simulator_session.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The decision module on the simulator's wire: text lines become events, actions become text lines. No
-/// decisions.
+/// Adapter between the simulator's text protocol and the decision module: converts text lines to events and
+/// actions to text lines. Makes no decisions.
 #ifndef MEADOWYARD_SIMULATOR_SIMULATOR_SESSION_HPP_
 #define MEADOWYARD_SIMULATOR_SIMULATOR_SESSION_HPP_
 
@@ -17,11 +17,11 @@
 
 namespace meadowyard::simulator {
 
-/// The policies of one process. Feed it line after line; after EOF_BATCH it has a reply. The policies share
-/// the process and the numbered endpoint lists of the protocol, and nothing else.
+/// The policies of one process. Consumes the input line by line; a reply is available after each EOF_BATCH.
+/// The policies share the process and the numbered endpoint lists of the protocol, and nothing else.
 class SimulatorSession {
  public:
-  /// Consumes one line, without its newline. Throws SimulatorProtocolError on a malformed one.
+  /// Consumes one line, without its newline. Throws SimulatorProtocolError if it is malformed.
   void ConsumeLine(std::string_view line);
 
   /// After EOF_BATCH: the reply to be written and flushed. Empty while a batch is incomplete.
@@ -31,7 +31,7 @@
   [[nodiscard]] bool IsInBatch() const { return in_batch_; }
 
  private:
-  // What a line of an instance's events does. The first word names it.
+  // The function that handles an event line of an instance, by the first word of the line.
   struct EventHandler {
     std::string_view word;
     void (SimulatorSession::*handle)(const Words& words);
@@ -59,11 +59,11 @@
 
   double now_ = 0;
   bool in_batch_ = false;
-  std::optional<std::int64_t> instance_;  // that events are addressed to
+  std::optional<std::int64_t> instance_;  // that the following events are addressed to
   std::map<std::int64_t, Policy> policies_;
   std::vector<std::vector<Endpoint>> lists_ = std::vector<std::vector<Endpoint>>(16);
   std::size_t open_list_ = 0;
-  std::size_t entries_due_ = 0;                 // ENTRY lines still to come for the open list
+  std::size_t entries_due_ = 0;                 // ENTRY lines still expected for the open list
   std::optional<std::int64_t> reply_instance_;  // that the reply's next actions are addressed to
   std::vector<Action> actions_;
   Words words_;
