--- a/src/simulator/simulator_protocol.cpp
+++ b/src/simulator/simulator_protocol.cpp
@@ -33,7 +33,7 @@
   switch (entry.event) {
     case Log::Event::kEndpointEjected: return "server " + entry.endpoint + " not ready: failing";
     case Log::Event::kEndpointRestored: return "server " + entry.endpoint + " ready again";
-    case Log::Event::kMaintenanceStarted: return "server " + entry.endpoint + " left output by hand";
+    case Log::Event::kMaintenanceStarted: return "server " + entry.endpoint + " left out by hand";
     case Log::Event::kMaintenanceEnded: return "server " + entry.endpoint + " put back by hand";
     case Log::Event::kDispatchRateReduced: return "rate cut to " + std::to_string(entry.rate_per_s) + "/s";
   }
