--- a/tests/coordination/characterization_test.cpp
+++ b/tests/coordination/characterization_test.cpp
@@ -611,8 +611,8 @@
   ExpectRecordedDigests<ZoneHealthScenario>("zone_health");
 }
 
-// The digests can fail: a difference as small as one more random draw, which shifts the time of one event,
-// changes them.
+// Checks that the digests detect small differences: one additional random draw, which shifts the time of one
+// event, changes them.
 TEST(CoordinationCharacterization, OtherSeedGivesOtherDigest) {
   EXPECT_NE(LeaseScenario(1).Run(), LeaseScenario(2).Run());
   EXPECT_NE(EndpointListScenario(1).Run(), EndpointListScenario(2).Run());
--- a/tests/coordination/lease_test.cpp
+++ b/tests/coordination/lease_test.cpp
@@ -43,7 +43,7 @@
   int restarts = 1;
 };
 
-struct Faults {                 // planted, to show that the model check detects violations
+struct Faults {                 // injected to show that the model check detects violations
   bool skips_recovery = false;  // a restarted gateway grants at once
   std::array<double, kGateways> clock_rates = {0.75, 1.25, 1};  // by default as far apart as is allowed
 };
@@ -143,7 +143,7 @@
 
   void Explore(const ModelState& current, int depth_left) {
     if (depth_left == 0 || !violation_.empty()) return;
-    // Greatest depth left with which this state was explored.
+    // Greatest remaining depth with which this state was explored.
     int& explored_depth = explored_depths_[HashOf(current)];
     if (explored_depth >= depth_left) return;
     explored_depth = depth_left;
@@ -215,8 +215,8 @@
   RecordProperty("states", static_cast<int>(checker.states()));
 }
 
-// The model check can fail: it finds a gateway that forgets its grants in a restart, and clocks that run
-// further apart than is allowed.
+// Checks that the model check detects violations: a gateway that forgets its grants in a restart, and clocks
+// whose rates differ more than is allowed.
 TEST(LeaseProtocol, ModelCheckFindsPlantedFaults) {
   Faults skips_recovery;
   skips_recovery.skips_recovery = true;
--- a/tests/coordination/message_fixtures_test.cpp
+++ b/tests/coordination/message_fixtures_test.cpp
@@ -1,6 +1,6 @@
-// Coordination messages as the program of commit ff1d420 encoded them. Gateways of both versions run side by
-// side during an upgrade: each recorded message must still be decoded, and be encoded to the same bytes as
-// before.
+// Coordination messages as the program of commit ff1d420 encoded them. Gateways of both versions run at
+// the same time during an upgrade: each recorded message must still be decoded, and be encoded to the same
+// bytes as before.
 //
 // tests/fixtures/ff1d420/coordination_messages.txt holds one message per line: its name and its bytes in hex.
 // The file is never recorded again; a new kind of message gets a fixture of its own version.
--- a/tests/coordination/random_sequence.hpp
+++ b/tests/coordination/random_sequence.hpp
@@ -34,7 +34,7 @@
   std::uint64_t state_;
 };
 
-/// FNV-1a over the bytes of what is added.
+/// FNV-1a hash over the bytes of all added values.
 class Digest {
  public:
   void Add(std::uint64_t value) {
--- a/tests/coordination/zone_test.cpp
+++ b/tests/coordination/zone_test.cpp
@@ -441,7 +441,7 @@
 }
 
 // The majority is lost in the middle of a failover, and a second zone fails while a minority is cut off. The
-// minority must not move traffic by what it can't agree on with a majority.
+// minority must not move traffic on the basis of a state that it can't agree on with a majority.
 TEST(ZoneStateCoordinator, MinorityKeepsTheLastAgreement) {
   SimulatedCluster cluster(5, 3);
   cluster.Tick(3000);
@@ -465,7 +465,7 @@
   cluster.ExpectInvariants();
 }
 
-// A new lease holder that missed the last agreement must not send all gateways back to the state before: it
+// A new lease holder that missed the last agreement must not restore an older state on all gateways: it
 // learns the newest agreement from any gateway that has adopted it.
 TEST(ZoneStateCoordinator, OutdatedHolderLearnsTheNewerAgreement) {
   SimulatedCluster cluster(3, 5);
@@ -531,7 +531,7 @@
   EXPECT_GT(changed_runs, kRuns / 2) << "too few runs changed the agreement to check anything";
 }
 
-// The invariant checks of these tests can fail: a state that is adopted without votes is found.
+// Checks that the invariant checks of these tests detect a state that is adopted without votes.
 TEST(ZoneStateCoordinator, InvariantCheckDetectsAdoptionWithoutAMajority) {
   SimulatedCluster cluster(3, 1);
   cluster.Tick(3000);
--- a/tests/operations/admin_test.cpp
+++ b/tests/operations/admin_test.cpp
@@ -84,7 +84,7 @@
   }));
 }
 
-// Guards against a connection that an incomplete request holds open for ever.
+// Guards against a connection that an incomplete request holds open indefinitely.
 TEST(AdminServer, ClosesAnIncompleteRequestAfterTheTimeout) {
   operations::AdminServer::Limits limits;
   limits.timeouts.request = 1;
--- a/tests/simulator/simulator_session_test.cpp
+++ b/tests/simulator/simulator_session_test.cpp
@@ -1,4 +1,5 @@
-// The dialect: what is read, what is printed, and what is said of malformed lines.
+// The simulator's text protocol: parsing of lines and settings, the printed replies, and the rejection of
+// malformed lines.
 #include "simulator/simulator_session.hpp"
 
 #include <gtest/gtest.h>
@@ -52,15 +53,15 @@
   EXPECT_EQ(reply.find("PASS_ON"), std::string::npos) << reply;
 }
 
-// What one instance says in the course of `rounds` batches; `others` more share its process.
-std::string Said(int others, int rounds) {
+// Returns the output of instance 0 over `rounds` batches, while `other_instances` more share its process.
+std::string InstanceOutput(int other_instances, int rounds) {
   SimulatorSession session;
-  std::string said;
+  std::string output;
   for (int round = 0; round < rounds; ++round) {
     session.ConsumeLine("TURN " + std::to_string(10 * round));
-    for (int i = 0; i <= others; ++i) {
-      // The instance that is watched comes in the middle, so that both neighbours could disturb it.
-      session.ConsumeLine("INSTANCE " + std::to_string((i + 1) % (others + 1)));
+    for (int i = 0; i <= other_instances; ++i) {
+      // Instance 0, whose output is returned, comes after the others, so that their events could affect it.
+      session.ConsumeLine("INSTANCE " + std::to_string((i + 1) % (other_instances + 1)));
       if (round == 0) {
         for (const char* line : {kCreate, "SNAPSHOT_ROWS 0 3", "ENTRY h1 z k 0 up 1 -",
                                  "ENTRY h2 z k 0 up 1 -", "ENTRY h3 z k 0 up 1 -", "REGISTRY 0 1 C"}) {
@@ -73,24 +74,24 @@
     }
     session.ConsumeLine("EOF_BATCH");
     const std::string reply = session.TakeReply();
-    bool mine = false;
+    bool from_instance = false;
     std::size_t start = 0;
     for (std::size_t end; (end = reply.find('\n', start)) != std::string::npos; start = end + 1) {
       const std::string line = reply.substr(start, end - start);
       if (line.starts_with("CONTEXT ")) {
-        mine = line == "CONTEXT 0";
-      } else if (mine && line != "OK") {
-        said += line + "\n";
+        from_instance = line == "CONTEXT 0";
+      } else if (from_instance && line != "OK") {
+        output += line + "\n";
       }
     }
   }
-  return said;
+  return output;
 }
 
 TEST(SimulatorSession, InstanceActsAlikeAloneAndAmongOthersInOneProcess) {
-  const std::string alone = Said(0, 60);
+  const std::string alone = InstanceOutput(0, 60);
   EXPECT_NE(alone.find("PASS_ON t/0 "), std::string::npos) << alone;
-  EXPECT_EQ(alone, Said(2, 60));
+  EXPECT_EQ(alone, InstanceOutput(2, 60));
 }
 
 TEST(SimulatorSession, SettingsAreReadAndUnknownOnesSkipped) {
