--- a/src/simulator/simulator_protocol.cpp
+++ b/src/simulator/simulator_protocol.cpp
@@ -89,16 +89,16 @@
   return is_present ? words[index] : std::string_view();
 }
 
-std::string_view RequiredWord(const Words& words, std::size_t index, const char* what) {
+std::string_view RequiredWord(const Words& words, std::size_t index, const char* word_name) {
   const std::string_view text = OptionalWord(words, index);
-  if (text.empty()) throw SimulatorProtocolError(std::string(words[0]) + " lacks its " + what);
+  if (text.empty()) throw SimulatorProtocolError(std::string(words[0]) + " lacks its " + word_name);
   return text;
 }
 
-bool ParseFlag(std::string_view text, const char* what) {
+bool ParseFlag(std::string_view text, const char* word_name) {
   if (text == "1" || text == "true") return true;
   if (text == "0" || text == "false") return false;
-  throw SimulatorProtocolError(std::string(what) + " is not a flag: '" + std::string(text) + "'");
+  throw SimulatorProtocolError(std::string(word_name) + " is not a flag: '" + std::string(text) + "'");
 }
 
 AttemptResult ParseResult(std::string_view code) {
--- a/src/simulator/simulator_protocol.hpp
+++ b/src/simulator/simulator_protocol.hpp
@@ -32,35 +32,35 @@
 
 /// The word at `index`, or empty where it is absent or the line ends before it.
 std::string_view OptionalWord(const Words& words, std::size_t index);
-/// The word at `index`. Throws SimulatorProtocolError naming `what` if there is none.
-std::string_view RequiredWord(const Words& words, std::size_t index, const char* what);
+/// The word at `index`. Throws SimulatorProtocolError naming `word_name` if there is none.
+std::string_view RequiredWord(const Words& words, std::size_t index, const char* word_name);
 
-/// Parses "1" or "true", "0" or "false". Throws SimulatorProtocolError naming `what` on any other text.
-bool ParseFlag(std::string_view text, const char* what);
+/// Parses "1" or "true", "0" or "false". Throws SimulatorProtocolError naming `word_name` on any other text.
+bool ParseFlag(std::string_view text, const char* word_name);
 
-/// Parses the whole text as a number. Throws SimulatorProtocolError naming `what` if it is not a finite one.
+/// Parses the whole text as a finite number. Throws SimulatorProtocolError naming `word_name` if it is none.
 template <typename Number>
-Number ParseNumber(std::string_view text, const char* what) {
+Number ParseNumber(std::string_view text, const char* word_name) {
   Number value{};
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   bool is_valid = error == std::errc() && end == text.data() + text.size();
   if constexpr (std::is_floating_point_v<Number>) is_valid = is_valid && std::isfinite(value);
   if (!is_valid) {
-    throw SimulatorProtocolError(std::string(what) + " is not a number: '" + std::string(text) + "'");
+    throw SimulatorProtocolError(std::string(word_name) + " is not a number: '" + std::string(text) + "'");
   }
   return value;
 }
 
 /// The number at `index`, or `default_value` where it is absent.
 template <typename Number>
-Number OptionalNumber(const Words& words, std::size_t index, const char* what, Number default_value) {
+Number OptionalNumber(const Words& words, std::size_t index, const char* word_name, Number default_value) {
   const std::string_view text = OptionalWord(words, index);
-  return text.empty() ? default_value : ParseNumber<Number>(text, what);
+  return text.empty() ? default_value : ParseNumber<Number>(text, word_name);
 }
 
 template <typename Number>
-Number RequiredNumber(const Words& words, std::size_t index, const char* what) {
-  return ParseNumber<Number>(RequiredWord(words, index, what), what);
+Number RequiredNumber(const Words& words, std::size_t index, const char* word_name) {
+  return ParseNumber<Number>(RequiredWord(words, index, word_name), word_name);
 }
 
 /// Parses an ENTRY line: one endpoint of a list.
--- a/src/simulator/simulator_session.cpp
+++ b/src/simulator/simulator_session.cpp
@@ -15,8 +15,8 @@
 
 std::string Quoted(std::string_view text) { return "'" + std::string(text) + "'"; }
 
-std::string RequiredText(const Words& words, std::size_t index, const char* what) {
-  return std::string(RequiredWord(words, index, what));
+std::string RequiredText(const Words& words, std::size_t index, const char* word_name) {
+  return std::string(RequiredWord(words, index, word_name));
 }
 
 }  // namespace
--- a/tests/coordination/characterization_test.cpp
+++ b/tests/coordination/characterization_test.cpp
@@ -92,17 +92,17 @@
   void RunOneEvent() {
     const int kind = random_.Below(10000);
     int gateway = random_.Below(gateway_count_);
-    std::vector<Lease::Envelope> out;
+    std::vector<Lease::Envelope> outgoing;
     if (kind < 8300) {
       network_.DeliverOne(random_, [&](const auto& datagram) {
         gateway = datagram.to;
-        leases_[IndexOf(gateway)].OnMessage(clocks_.Now(gateway), datagram.from, datagram.message, out);
+        leases_[IndexOf(gateway)].OnMessage(clocks_.Now(gateway), datagram.from, datagram.message, outgoing);
       });
     } else if (kind < 9900) {
-      leases_[IndexOf(gateway)].Tick(clocks_.Now(gateway), random_.Fraction(), out);
+      leases_[IndexOf(gateway)].Tick(clocks_.Now(gateway), random_.Fraction(), outgoing);
     } else if (kind < 9930) {
       const int from = random_.Below(gateway_count_);
-      leases_[IndexOf(gateway)].OnMessage(clocks_.Now(gateway), from, ForgeMessage(), out);
+      leases_[IndexOf(gateway)].OnMessage(clocks_.Now(gateway), from, ForgeMessage(), outgoing);
     } else if (kind < 9940) {
       leases_[IndexOf(gateway)].Release(clocks_.Now(gateway) + random_.Between(0, times_.term));
     } else if (kind < 9960) {
@@ -110,7 +110,7 @@
     } else if (kind < 9968) {
       leases_[IndexOf(gateway)] = Start(gateway);
     }
-    for (const Lease::Envelope& envelope : out) SendAndRecord(gateway, envelope);
+    for (const Lease::Envelope& envelope : outgoing) SendAndRecord(gateway, envelope);
     AddStatus(gateway);
   }
 
--- a/tests/coordination/lease_test.cpp
+++ b/tests/coordination/lease_test.cpp
@@ -152,12 +152,13 @@
     for (std::size_t i = 0; i < current.in_flight.size(); ++i) {
       ModelState next = current;
       const Datagram datagram = current.in_flight[i];
-      std::vector<Lease::Envelope> out;
+      std::vector<Lease::Envelope> outgoing;
       Lease& lease = next.gateways[static_cast<std::size_t>(datagram.to)];
-      lease.OnMessage(ClockAt(datagram.to, current.time), datagram.from, datagram.payload, out);
-      if (lease.state() == current.gateways[static_cast<std::size_t>(datagram.to)].state() && out.empty())
+      lease.OnMessage(ClockAt(datagram.to, current.time), datagram.from, datagram.payload, outgoing);
+      if (lease.state() == current.gateways[static_cast<std::size_t>(datagram.to)].state() &&
+          outgoing.empty())
         continue;
-      Send(next, datagram.to, out);
+      Send(next, datagram.to, outgoing);
       ExploreNext(std::move(next),
                   "message" + std::to_string(datagram.from) + std::to_string(datagram.to) +
                       std::to_string(static_cast<int>(datagram.payload.type)),
@@ -167,11 +168,11 @@
       const auto index = static_cast<std::size_t>(gateway);
       if (current.rounds[index] < limits_.rounds) {
         ModelState next = current;
-        std::vector<Lease::Envelope> out;
-        next.gateways[index].Tick(ClockAt(gateway, current.time), 0, out);
-        if (!out.empty()) {
+        std::vector<Lease::Envelope> outgoing;
+        next.gateways[index].Tick(ClockAt(gateway, current.time), 0, outgoing);
+        if (!outgoing.empty()) {
           ++next.rounds[index];
-          Send(next, gateway, out);
+          Send(next, gateway, outgoing);
           ExploreNext(std::move(next), "request" + std::to_string(gateway), depth_left);
         }
       }
@@ -251,25 +252,26 @@
       due.assign(first_due, in_flight.end());
       in_flight.erase(first_due, in_flight.end());
       int holder = -1;
-      const auto send = [&](int from, const std::vector<Lease::Envelope>& out) {
-        for (const auto& envelope : out) {
+      const auto send = [&](int from, const std::vector<Lease::Envelope>& outgoing) {
+        for (const auto& envelope : outgoing) {
           ++messages_sent;
           if (random_fraction() > 0.05)
             in_flight.push_back({now + 1 + 20 * random_fraction(), {from, envelope.to, envelope.message}});
         }
       };
       for (const auto& [index, datagram] : due) {
-        std::vector<Lease::Envelope> out;
+        std::vector<Lease::Envelope> outgoing;
         if (stopped_until[static_cast<std::size_t>(datagram.to)] >= now) continue;
-        gateways[static_cast<std::size_t>(datagram.to)].OnMessage(now, datagram.from, datagram.payload, out);
-        send(datagram.to, out);
+        gateways[static_cast<std::size_t>(datagram.to)].OnMessage(now, datagram.from, datagram.payload,
+                                                                  outgoing);
+        send(datagram.to, outgoing);
       }
       for (int gateway = 0; gateway < count; ++gateway) {
         const auto index = static_cast<std::size_t>(gateway);
         if (stopped_until[index] >= now) continue;
-        std::vector<Lease::Envelope> out;
-        gateways[index].Tick(now, random_fraction(), out);
-        send(gateway, out);
+        std::vector<Lease::Envelope> outgoing;
+        gateways[index].Tick(now, random_fraction(), outgoing);
+        send(gateway, outgoing);
         if (!gateways[index].IsHeld(now)) continue;
         EXPECT_EQ(holder, -1) << "two holders at " << now;
         holder = gateway;
--- a/tests/coordination/zone_test.cpp
+++ b/tests/coordination/zone_test.cpp
@@ -39,8 +39,8 @@
   std::map<std::string, double> weights;
   double rejected = 0;
 };
-std::ostream& operator<<(std::ostream& out, const ZoneWeightCase& weight_case) {
-  return out << weight_case.name;
+std::ostream& operator<<(std::ostream& stream, const ZoneWeightCase& weight_case) {
+  return stream << weight_case.name;
 }
 
 // Guards against requests that leave a zone which could serve them, and against zones that are sent more than
@@ -120,9 +120,9 @@
   }
   std::map<std::string, int> sent;  // by zone; each attempt is answered at once
   std::function<void(Millis, const Event&)> handle = [&](Millis now, const Event& event) {
-    std::vector<Action> out;
-    policy.Handle(now, event, out);
-    for (const Action& a : out) {
+    std::vector<Action> new_actions;
+    policy.Handle(now, event, new_actions);
+    for (const Action& a : new_actions) {
       const auto* const send = std::get_if<StartAttempt>(&a);
       if (send == nullptr) continue;
       ++sent[send->endpoint.substr(0, 1)];
