--- a/src/coordination/lease.hpp
+++ b/src/coordination/lease.hpp
@@ -5,10 +5,10 @@
 /// their rates must not deviate from real time by more than `max_clock_drift`.
 ///
 /// Every gateway is both a proposer, which requests the lease, and an acceptor, which grants it. An acceptor
-/// upholds its grant for one term on its own clock, lengthened by the maximum drift. The proposer counts the
-/// term from before it sends the proposal, shortened by the maximum drift, so that its lease ends before the
-/// grants do. A gateway grants no lease for one term after its start, because it has lost its state and may
-/// have granted the lease before.
+/// upholds its grant for one term on its own clock, lengthened by the maximum drift. The proposer starts
+/// to count the term before it sends the proposal, and shortens it by the maximum drift, so that its lease
+/// ends before the grants do. A gateway grants no lease for one term after its start, because it has lost its
+/// state and may have granted the lease before.
 #ifndef MEADOWYARD_COORDINATION_LEASE_HPP_
 #define MEADOWYARD_COORDINATION_LEASE_HPP_
 
--- a/src/simulator/simulator_protocol.hpp
+++ b/src/simulator/simulator_protocol.hpp
@@ -38,7 +38,8 @@
 /// Parses "1" or "true", "0" or "false". Throws SimulatorProtocolError naming `word_name` on any other text.
 bool ParseFlag(std::string_view text, const char* word_name);
 
-/// Parses the whole text as a finite number. Throws SimulatorProtocolError naming `word_name` if it is none.
+/// Parses the complete text as a finite number. Throws SimulatorProtocolError naming `word_name` if it is
+/// none.
 template <typename Number>
 Number ParseNumber(std::string_view text, const char* word_name) {
   Number value{};
--- a/tests/coordination/lease_test.cpp
+++ b/tests/coordination/lease_test.cpp
@@ -201,9 +201,9 @@
 };
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr int kMaxDepth = 7;
+constexpr int kMaxDepth = 7;  // successive events
 #else
-constexpr int kMaxDepth = 9;
+constexpr int kMaxDepth = 9;  // successive events
 #endif
 
 // Two holders at once would both act in the role: two leaders could replicate different lists.
--- a/tests/coordination/zone_test.cpp
+++ b/tests/coordination/zone_test.cpp
@@ -285,7 +285,8 @@
 // ---- Agreement -------------------------------------------------------------------------------
 
 // Gateways with separate clocks on a network that loses, delays and cuts off messages. Checks the invariants
-// of the agreement on its own, from the messages that are sent and the states that are adopted.
+// of the agreement from the messages that are sent and the states that are adopted, independently of the
+// coordinators.
 struct SimulatedCluster {
   SimulatedCluster(int gateways, std::uint64_t random_seed) : gateway_count(gateways), random(random_seed) {
     for (int gateway = 0; gateway < gateway_count; ++gateway) {
