--- a/src/fronts/tunnel/tunnel.cpp
+++ b/src/fronts/tunnel/tunnel.cpp
@@ -16,19 +16,20 @@
 using nlohmann::json;
 
 constexpr int kMaxReceivesPerEvent = 8;  // so that a busy tunnel does not delay the others
-// A reset by the host in this period after the start, before it has sent anything, counts as its failure.
+// If the host resets the tunnel within this period after it opened, before the host has sent any data, the
+// reset counts as a failure of the host.
 constexpr Millis kStartFailurePeriod = 1000;
 
 bool WouldBlock() { return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR; }
 
 }  // namespace
 
-Tunnel::Tunnel(TunnelInfo info, Socket client, Socket host, RelayBuffer& relay_buffer, EndedHandler ended)
+Tunnel::Tunnel(TunnelInfo info, Socket client, Socket host, RelayBuffer& relay_buffer, EndedHandler on_ended)
     : info_(std::move(info)),
       client_(std::move(client)),
       host_(std::move(host)),
       relay_buffer_(relay_buffer),
-      on_ended_(std::move(ended)),
+      on_ended_(std::move(on_ended)),
       up_{client_, host_, {}},
       down_{host_, client_, {}},
       last_active_(core::Now()) {}
@@ -51,42 +52,44 @@
     if (reset) socket->set_option(asio::socket_base::linger(true, 0), ignored);
     socket->close(ignored);
   }
-  const auto ended = std::exchange(on_ended_, nullptr);
-  ended(*this, cause, end);
+  const auto on_ended = std::exchange(on_ended_, nullptr);
+  on_ended(*this, cause, end);
 }
 
-void Tunnel::Relay(Flow& flow) {
+void Tunnel::Relay(Direction& direction) {
   for (int receives = 0; receives < kMaxReceivesPerEvent; ++receives) {
-    if (!flow.state.left.empty() && !Flush(flow)) return;
-    if (flow.state.ended) return PropagateEndOfStream(flow);
+    if (!direction.state.left.empty() && !Flush(direction)) return;
+    if (direction.state.ended) return PropagateEndOfStream(direction);
     const ssize_t received =
-        ::recv(flow.from.native_handle(), relay_buffer_.data(), relay_buffer_.size(), MSG_DONTWAIT);
-    if (received < 0) return WouldBlock() ? AwaitReadable(flow) : OnSocketError(flow.from);
+        ::recv(direction.from.native_handle(), relay_buffer_.data(), relay_buffer_.size(), MSG_DONTWAIT);
+    if (received < 0) return WouldBlock() ? AwaitReadable(direction) : OnSocketError(direction.from);
     if (received == 0) {
-      flow.state.ended = true;
+      direction.state.ended = true;
       continue;
     }
     last_active_ = core::Now();
-    flow.state.bytes += static_cast<std::uint64_t>(received);
+    direction.state.bytes += static_cast<std::uint64_t>(received);
     const auto received_bytes = static_cast<std::size_t>(received);
-    ssize_t sent =
-        ::send(flow.to.native_handle(), relay_buffer_.data(), received_bytes, MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (sent < 0 && !WouldBlock()) return OnSocketError(flow.to);
+    ssize_t sent = ::send(direction.to.native_handle(), relay_buffer_.data(), received_bytes,
+                          MSG_NOSIGNAL | MSG_DONTWAIT);
+    if (sent < 0 && !WouldBlock()) return OnSocketError(direction.to);
     sent = std::max<ssize_t>(0, sent);
     if (static_cast<std::size_t>(sent) < received_bytes) {
-      flow.state.left.assign(relay_buffer_.data() + sent, received_bytes - static_cast<std::size_t>(sent));
-      return AwaitWritable(flow);
+      direction.state.left.assign(relay_buffer_.data() + sent,
+                                  received_bytes - static_cast<std::size_t>(sent));
+      return AwaitWritable(direction);
     }
     if (received_bytes < relay_buffer_.size()) break;  // the socket had no more data
   }
-  AwaitReadable(flow);
+  AwaitReadable(direction);
 }
 
-bool Tunnel::Flush(Flow& flow) {
-  std::string& left = flow.state.left;
-  const ssize_t sent = ::send(flow.to.native_handle(), left.data(), left.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+bool Tunnel::Flush(Direction& direction) {
+  std::string& left = direction.state.left;
+  const ssize_t sent =
+      ::send(direction.to.native_handle(), left.data(), left.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
   if (sent < 0 && !WouldBlock()) {
-    OnSocketError(flow.to);
+    OnSocketError(direction.to);
     return false;
   }
   if (sent > 0) last_active_ = core::Now();
@@ -95,23 +98,23 @@
     std::string().swap(left);  // frees the memory: an idle tunnel holds no buffer
     return true;
   }
-  AwaitWritable(flow);
+  AwaitWritable(direction);
   return false;
 }
 
-void Tunnel::AwaitReadable(Flow& flow) {
-  if (std::exchange(flow.waiting, true)) return;
-  flow.from.async_wait(Socket::wait_read, [this, self = shared_from_this(), &flow](error_code) {
-    flow.waiting = false;
-    if (!closed_) Relay(flow);
+void Tunnel::AwaitReadable(Direction& direction) {
+  if (std::exchange(direction.waiting, true)) return;
+  direction.from.async_wait(Socket::wait_read, [this, self = shared_from_this(), &direction](error_code) {
+    direction.waiting = false;
+    if (!closed_) Relay(direction);
   });
 }
 
-void Tunnel::AwaitWritable(Flow& flow) {
-  if (std::exchange(flow.waiting, true)) return;
-  flow.to.async_wait(Socket::wait_write, [this, self = shared_from_this(), &flow](error_code) {
-    flow.waiting = false;
-    if (!closed_) Relay(flow);
+void Tunnel::AwaitWritable(Direction& direction) {
+  if (std::exchange(direction.waiting, true)) return;
+  direction.to.async_wait(Socket::wait_write, [this, self = shared_from_this(), &direction](error_code) {
+    direction.waiting = false;
+    if (!closed_) Relay(direction);
   });
 }
 
@@ -120,8 +123,9 @@
 void Tunnel::AwaitError(Socket& socket) {
   socket.async_wait(Socket::wait_error, [this, self = shared_from_this(), &socket](error_code ec) {
     if (closed_ || ec) return;
-    Flow& flow = &socket == &client_ ? up_ : down_;
-    if (!flow.state.ended && flow.state.left.empty()) Relay(flow);  // relays what arrived before the reset
+    Direction& direction = &socket == &client_ ? up_ : down_;
+    // Relays the data that arrived before the reset.
+    if (!direction.state.ended && direction.state.left.empty()) Relay(direction);
     if (closed_) return;
     int error = 0;
     socklen_t size = sizeof error;
@@ -130,19 +134,19 @@
   });
 }
 
-void Tunnel::PropagateEndOfStream(Flow& flow) {
-  if (!std::exchange(flow.state.shut, true)) {
+void Tunnel::PropagateEndOfStream(Direction& direction) {
+  if (!std::exchange(direction.state.shut, true)) {
     error_code ignored;
-    flow.to.shutdown(Socket::shutdown_send, ignored);
+    direction.to.shutdown(Socket::shutdown_send, ignored);
   }
   if (up_.state.shut && down_.state.shut) Close("ended", false);
 }
 
 void Tunnel::OnSocketError(const Socket& failed_socket) {
-  const bool host = &failed_socket == &host_;
+  const bool host_failed = &failed_socket == &host_;
   const bool failed_at_start =
-      host && down_.state.bytes == 0 && core::Now() < info_.since + kStartFailurePeriod;
-  Close(host ? "reset by host" : "reset by client", true,
+      host_failed && down_.state.bytes == 0 && core::Now() < info_.since + kStartFailurePeriod;
+  Close(host_failed ? "reset by host" : "reset by client", true,
         failed_at_start ? core::TunnelEnd::kFailedAtStart : core::TunnelEnd::kClosed);
 }
 
