--- a/cmake/headers.cpp
+++ b/cmake/headers.cpp
@@ -1,1 +1,1 @@
-// Only carries the precompiled headers that CMakeLists.txt lists.
+// Source file of the target that compiles the precompiled headers listed in CMakeLists.txt.
--- a/quickstart.sh
+++ b/quickstart.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# On a fresh Debian: installs what the build needs, builds, and plays experiments/quickstart.toml.
+# For a fresh Debian system: installs the build dependencies, builds, and runs experiments/quickstart.toml.
 set -euo pipefail
 cd "$(dirname "$0")"
 packages="g++ make cmake libboost-dev nlohmann-json3-dev libcli11-dev libspdlog-dev libfmt-dev libtomlplusplus-dev libxxhash-dev libpcg-cpp-dev"
--- a/tests/lint.sh
+++ b/tests/lint.sh
@@ -1,13 +1,13 @@
 #!/bin/bash
-# Checks the text of the project, before anything is built: the format, the shell scripts, withdrawn words, the form
-# of lint exceptions, includes across packages, and clang-tidy over all finished packages.
+# Checks the source files before anything is built: formatting, shell scripts, withdrawn words, the form of lint
+# exceptions, includes across packages, and clang-tidy on all finished packages.
 #
-#   lint.sh                      check
-#   lint.sh --count PACKAGE...   clang-tidy findings of packages, finished or not: "PACKAGE FINDINGS" for each
-#   lint.sh --show PACKAGE...    the findings themselves
+#   lint.sh                      run all checks
+#   lint.sh --count PACKAGE...   print "PACKAGE FINDINGS", the number of clang-tidy findings, for each; finished or not
+#   lint.sh --show PACKAGE...    print the findings
 #
-# A package is a folder with C++ files under src, include, tests or examples. Packages that are not clean yet stand
-# in tests/lint_pending.txt; every other package has to be clean.
+# A package is a folder with C++ files under src, include, tests or examples. Packages that are not clean yet are
+# listed in tests/lint_pending.txt; every other package is finished and must be clean.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -23,7 +23,7 @@
 pending() { entries | awk '$2 > 0 { print $1 }'; }
 finished() { packages | grep -vxF -f <(pending); }
 
-# The files by which clang-tidy sees a package: its sources, or its headers where it has no sources.
+# Prints the files of package $1 that clang-tidy is run on: its sources, or its headers if it has no sources.
 files_of() {
   local sources=()
   mapfile -t sources < <(find "$1" -maxdepth 1 -name '*.cpp')
@@ -37,7 +37,7 @@
     -DCMAKE_DISABLE_PRECOMPILE_HEADERS=ON >/dev/null
 }
 
-# tidy PACKAGE...: the findings in these packages, each once; the largest files first, as many at a time as cores.
+# tidy PACKAGE...: prints each finding in these packages once. Runs one process per core, on the largest files first.
 tidy() {
   local filter work status=0 findings
   work=$(mktemp -d)
@@ -48,10 +48,11 @@
       'exec clang-tidy --quiet -p "$1" --header-filter="$2" "$3" >"$4/$(echo "$3" | tr / _)" 2>&1' \
       clang-tidy "$build" "$filter" '{}' "$work" || status=$?
   findings=$(cat "$work"/* | grep -E ':[0-9]+:[0-9]+: (error|warning): ' | sed "s@^$PWD/@@" | sort -u || true)
-  # 123: clang-tidy has findings, or can't read a file; above: it could not be run or has crashed.
+  # xargs exits with 123 if clang-tidy had findings or could not read a file, with a higher status if clang-tidy could
+  # not be run or crashed.
   if [ "$status" -gt 123 ] || { [ "$status" -ne 0 ] && [ -z "$findings" ]; }; then
     cat "$work"/* >&2
-    echo "clang-tidy failed" >&2
+    echo "clang-tidy failed (exit status of xargs: $status); its output is above" >&2
     return 1
   fi
   rm -rf "$work"
@@ -66,14 +67,15 @@
   shellcheck .ci/run quickstart.sh tests/*.sh
 }
 
-# `NOLINT(check-name): reason` on its line, or NOLINTNEXTLINE where the line is full; nothing wider.
+# An exception applies to one line: `NOLINT(check-name): reason` on that line, or NOLINTNEXTLINE above it if the line
+# is full. Exceptions for more than one line are not allowed.
 check_exceptions() {
   ! grep -rnE 'NOLINT' src include tests examples --include='*.?pp' |
     grep -vE '// NOLINT(NEXTLINE)?\([a-z][a-zA-Z0-9.-]*(, ?[a-z][a-zA-Z0-9.-]*)*\): [^ ]+' ||
-    { echo "an exception must read: NOLINT(check-name): reason"; return 1; }
+    { echo "a lint exception must have the form NOLINT(check-name): reason"; return 1; }
 }
 
-# A package includes only from the packages that it uses in CMakeLists.txt, or that these use.
+# A package may include only from the packages that it uses in CMakeLists.txt, directly or indirectly.
 check_includes() {
   {
     tr '\n' ' ' <CMakeLists.txt | grep -oE '(meadowyard_package|target_link_libraries)\([^)]*\)' |
@@ -104,7 +106,7 @@
   entries | awk '{ printf "  %s: %s clang-tidy findings, withdrawn words on %s lines\n", $1, $2, $3 }'
   [ "$count" -le "$most_pending" ] || { echo "the list of pending packages has grown"; return 1; }
   entries | awk '{ print $1 }' | while IFS= read -r package; do
-    [ -d "$package" ] || { echo "$package: pending, but not there"; return 1; }
+    [ -d "$package" ] || { echo "$package: listed in tests/lint_pending.txt, but the folder does not exist"; return 1; }
   done
 }
 
--- a/tests/measure_code.py
+++ b/tests/measure_code.py
@@ -3,17 +3,17 @@
 
     tests/measure_code.py [ROOT] [--list]
 
-ROOT is the tree to measure (this one if left out). The columns:
+ROOT is the tree to measure (default: this one). Columns:
 
     files       C++ files of the package (a folder under src, include, tests or examples)
-    lines       their lines, all of them
-    fn>40       functions of more than 40 lines, from the opening brace's line to the closing brace's
+    lines       total number of lines in these files
+    fn>40       functions of more than 40 lines, from the line of the opening brace to that of the closing brace
     fn>60       functions of more than 60 lines
     file>300    files of more than 300 lines
-    withdrawn   lines with withdrawn words (tests/terms.sh)
+    withdrawn   lines that contain withdrawn words (see tests/terms.sh)
 
-Functions are found by matching braces, so figures are close to, but not the same as a compiler's. A lambda or a local
-class counts as a part of the function around it. With --list the long functions and files are printed as well.
+Functions are found by matching braces, so the figures are close to those of a compiler, but not identical. A lambda or
+a local class counts as part of the enclosing function. --list also prints the long functions and files.
 """
 
 import argparse
@@ -31,7 +31,7 @@
 
 
 def blank(match):
-    """Replaces a comment or literal by as many line breaks, so that line numbers stay."""
+    """Replaces a comment or literal by the same number of line breaks, which preserves the line numbers."""
     text = match.group(0)
     if text.startswith("'") and match.start() > 0 and match.string[match.start() - 1].isalnum():
         return text  # a digit separator
@@ -39,7 +39,7 @@
 
 
 def functions(text):
-    """Yields (first line, last line, head) of each function body outside other functions."""
+    """Yields (first line, last line, signature) of each function body that is not inside another function."""
     code = TOKENS.sub(blank, text)
     code = re.sub(r"^[ \t]*#(?:[^\n\\]|\\\n|\\.)*", lambda m: "\n" * m.group(0).count("\n"), code, flags=re.M)
     blocks, head, line = [], "", 1
@@ -82,7 +82,7 @@
 
 
 def packages(root):
-    """The files of each package, by folder."""
+    """Returns the file names of each package, by folder."""
     found = {}
     for top in FOLDERS:
         for folder, _, names in os.walk(os.path.join(root, top)):
@@ -99,7 +99,7 @@
 
 
 def measure(root, show):
-    """Prints the table, and the long functions and files if `show` is set."""
+    """Prints the table and, if `show` is set, the long functions and files."""
     words = withdrawn(root)
     total = [0] * 6
     details = []
--- a/tests/run_all.sh
+++ b/tests/run_all.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# All checks of the project: the lint, the deploy file's own build, the tests in Release and under the
-# sanitizers, the consumer example against an installed copy, and the adapter as a process. Run from anywhere;
-# leaves its builds under build*/.
+# Runs all checks of the project: lint, the build command of deploy/balancer.toml, the tests in the Release build and
+# with sanitizers, the consumer example against an installed copy, and the simulator adapter as a process. Can be
+# started from any directory; the build directories build*/ are kept.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -12,12 +12,12 @@
 step "lint"
 bash tests/lint.sh
 # shellcheck disable=SC2086
-ls -d $policy >/dev/null  # each of them is there
+ls -d $policy >/dev/null  # fails if a listed file does not exist
 # shellcheck disable=SC2086
 if grep -rnE '^.{111,}' $policy; then echo "decision module: lines of more than 110 characters"; exit 1; fi
 
-# Two builds at a time, for together they keep eight cores busy to the end. What the one in the background says
-# is printed when it has ended.
+# Runs two builds at once, because together they keep eight cores busy until the end. The output of the background
+# build is printed after it has finished.
 step "build by deploy/balancer.toml, the tests beside it; meanwhile the build with sanitizers"
 work=$(mktemp -d)
 sanitize_build=
@@ -33,7 +33,7 @@
   cmake -B build-sanitize -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS=-O0 -DMEADOWYARD_TESTS=ON -DMEADOWYARD_SANITIZE=ON >/dev/null
   cmake --build build-sanitize -j4
 }
-set -m  # a process group of its own, to be ended as one
+set -m  # gives the background build its own process group, so that finish() can kill all of it
 build_with_sanitizers >"$work/sanitize.log" 2>&1 &
 sanitize_build=$!
 set +m
--- a/tests/terms.sh
+++ b/tests/terms.sh
@@ -1,10 +1,10 @@
 #!/bin/bash
-# Looks for withdrawn words (tests/withdrawn_terms.txt) in the names, comments and log lines of the C++ files.
-# Fails on one in a finished package, and on a package of tests/lint_pending.txt with more lines than listed.
+# Searches the names, comments and log lines of the C++ files for withdrawn words (tests/withdrawn_terms.txt). Fails if
+# a finished package has any, or if a package in tests/lint_pending.txt has them on more lines than listed there.
 #
-#   terms.sh                  check
-#   terms.sh --show PACKAGE   each line of a package that has such words: FILE:LINE: WORD, ...
-#   terms.sh --count [ROOT]   "PACKAGE LINES" for each package of the tree at ROOT (this tree if left out)
+#   terms.sh                  check all packages
+#   terms.sh --show PACKAGE   print FILE:LINE: WORD, ... for each line of a package that has withdrawn words
+#   terms.sh --count [ROOT]   print "PACKAGE LINES" for each package of the tree at ROOT (default: this tree)
 #
 # A package is a folder with C++ files under src, include, tests or examples.
 set -euo pipefail
@@ -18,8 +18,8 @@
   find src include tests examples -name '*.?pp' -printf '%h\n' | sort -u
 }
 
-# One sed program: blanks out allowed texts, then splits CamelCase and snake_case into words in lower case.
-# The names of included files count where these files are.
+# A sed program that removes the allowed texts, then splits CamelCase and snake_case names into lower-case words.
+# #include lines are skipped: the name of an included file is checked in the package of that file.
 allowed=$(entries "$lists/allowed_terms.txt" | sed -e 's/ | .*//' | paste -sd '|')
 split="/^#include/s/.*//; s@$allowed@ @g; s/([A-Z]+)([A-Z][a-z])/\1 \2/g; s/([a-z0-9])([A-Z])/\1 \2/g; s/_/ /g; s/.*/\L&/"
 
@@ -34,7 +34,7 @@
   done | sed 's/|$//'
 }
 
-# show PACKAGE: FILE:LINE: WORD, ... for each of its lines that has withdrawn words; line 0 is the file's name.
+# show PACKAGE: prints FILE:LINE: WORD, ... for each line that has withdrawn words; line 0 is the file name.
 show() {
   local pattern file
   pattern="(^|[^a-z])($(pattern_of "$1"))([^a-z]|$)"
@@ -53,7 +53,7 @@
   for package in $(packages); do echo "$package $(show "$package" | wc -l)"; done
 }
 
-# The lines that package $1 is listed with; 0 if it is finished.
+# Prints the number of lines listed for package $1 in tests/lint_pending.txt; 0 if the package is finished.
 listed() {
   entries "$lists/lint_pending.txt" | awk -v package="$1" '$1 == package { lines = $3 } END { print lines + 0 }'
 }
@@ -65,7 +65,7 @@
     most=$(listed "$package")
     if [ "$lines" -gt "$most" ]; then
       failed=1
-      echo "$package: withdrawn words on $lines lines, $most at most (docs/glossary.md):"
+      echo "$package: withdrawn words on $lines lines, at most $most allowed (see docs/glossary.md):"
       show "$package"
     elif [ "$most" -gt 0 ]; then
       echo "$package: pending, withdrawn words on $lines lines ($most listed)"
