--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -57,7 +57,7 @@
     return settings;
   }
   static void UpdateHost(World& world, int revision, const std::string& phase, const tcp::endpoint& at) {
-    world.Tell(revision, {Member("h0", at, phase)});
+    world.SetDiscoveredHosts(revision, {Member("h0", at, phase)});
   }
 };
 
@@ -91,23 +91,24 @@
     }
     text += std::string(stage == Stage::kReceivingBody ? 20000 : 200000, 'x');
   }
-  client->Say(stage == Stage::kReceivingHead ? text.substr(0, 40) : text);
+  client->SendBytes(stage == Stage::kReceivingHead ? text.substr(0, 40) : text);
   const auto is_host_connected = [&] { return !world.host().connections.empty(); };
   const auto is_request_received = [&] { return !world.host().requests.empty(); };
   switch (stage) {
     case Stage::kReceivingHead:
-    case Stage::kReceivingBody: ASSERT_TRUE(world.Until([&] { return client->said > 0; })); break;
+    case Stage::kReceivingBody: ASSERT_TRUE(world.Until([&] { return client->sent_byte_count > 0; })); break;
     case Stage::kQueued:
     case Stage::kConnecting:
-      ASSERT_TRUE(world.Until([&] { return world.Figures()["current"] == 1 || client->all > 0; }));
+      ASSERT_TRUE(world.Until(
+          [&] { return world.ReadMetrics()["current"] == 1 || client->received_byte_count > 0; }));
       break;
     case Stage::kSendingBody: ASSERT_TRUE(world.Until(is_host_connected)); break;
     case Stage::kAwaitingAnswer: ASSERT_TRUE(world.Until(is_request_received)); break;
     case Stage::kStreamingAnswer:
       ASSERT_TRUE(world.Until(is_request_received));
-      world.host().requests[0].on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" +
-                                       std::string(300000, 'y'));
-      ASSERT_TRUE(world.Until([&] { return client->all > 100000; }));
+      world.host().requests[0].source_connection->WriteRaw(
+          "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + std::string(300000, 'y'));
+      ASSERT_TRUE(world.Until([&] { return client->received_byte_count > 100000; }));
       break;
   }
 
@@ -138,17 +139,17 @@
     world.io.run_for(std::chrono::milliseconds(cause == Cause::kDeadline ? 300 : 20));
     client->Reset();
   } else if (!client_left) {
-    ASSERT_TRUE(world.Until([&] { return client->all > 0 || client->over(); }));
-    EXPECT_EQ(client->got.find("HTTP/1.1 "), 0u);
-    EXPECT_EQ(client->got.find("HTTP/1.1 ", 9), std::string::npos) << "answered twice";
+    ASSERT_TRUE(world.Until([&] { return client->received_byte_count > 0 || client->is_read_closed(); }));
+    EXPECT_EQ(client->received_bytes.find("HTTP/1.1 "), 0u);
+    EXPECT_EQ(client->received_bytes.find("HTTP/1.1 ", 9), std::string::npos) << "answered twice";
     if (cause == Cause::kHostDrains && stage == Stage::kAwaitingAnswer) {
-      EXPECT_EQ(client->got.substr(9, 3), "200");
+      EXPECT_EQ(client->received_bytes.substr(9, 3), "200");
     }
     client->Reset();
   }
   const std::size_t requests_sent = world.host().requests.size();
-  ASSERT_TRUE(world.Until([&] { return world.Figures()["current"] == 0; }));
-  const auto class_counts = world.Figures()["transactions"][class_name];
+  ASSERT_TRUE(world.Until([&] { return world.ReadMetrics()["current"] == 0; }));
+  const auto class_counts = world.ReadMetrics()["transactions"][class_name];
   EXPECT_LE(class_counts["answered"].get<int>() + class_counts["deferred"].get<int>() +
                 class_counts["errored"].get<int>(),
             1);
@@ -163,7 +164,7 @@
   UpdateHost(world, 70, "up", world.host().address());
   Client next_client(world.io, world.gateway->address());
   bool served = false;
-  world.host().serve = [&](const Peer::Taken& received) { received.Answer(200, "well"); };
+  world.host().serve = [&](const Peer::ReceivedRequest& received) { received.Answer(200, "well"); };
   for (int i = 0; i < 50 && !served; ++i) {
     next_client.Send(ApiCall("n" + std::to_string(i), "view", "400m"));
     served = next_client.Await(static_cast<std::size_t>(i) + 1).result_int() == 200;
--- a/tests/connections_test.cpp
+++ b/tests/connections_test.cpp
@@ -61,22 +61,25 @@
       switch (c.misbehaviour) {
         case Misbehaviour::kSilentConnections: break;
         case Misbehaviour::kSlowBodies:
-          misbehaving_connections.back()->Say(
+          misbehaving_connections.back()->SendBytes(
               "POST /api HTTP/1.1\r\nHost: b\r\nReq-Id: " + id +
               "\r\nReq-Kind: pay\r\nReq-Deadline: 5000m\r\nContent-Length: 60000\r\n\r\nslow");
           break;
         case Misbehaviour::kSlowReaders:
-          misbehaving_connections.back()->reads = false;
-          misbehaving_connections.back()->Say(ApiCall(id, "view", "5000m", "", "Req-Key: long\r\n"));
+          misbehaving_connections.back()->reads_enabled = false;
+          misbehaving_connections.back()->SendBytes(ApiCall(id, "view", "5000m", "", "Req-Key: long\r\n"));
           break;
         case Misbehaviour::kPipelinedRequests:
           for (int k = 0; k < 100; ++k)
-            misbehaving_connections.back()->Say(ApiCall(id + "-" + std::to_string(k)));
+            misbehaving_connections.back()->SendBytes(ApiCall(id + "-" + std::to_string(k)));
+          break;
+        case Misbehaviour::kIncompleteConnects:
+          misbehaving_connections.back()->SendBytes("CONNECT one.int");
           break;
-        case Misbehaviour::kIncompleteConnects: misbehaving_connections.back()->Say("CONNECT one.int"); break;
         case Misbehaviour::kStalledTunnels:
-          misbehaving_connections.back()->reads = false;
-          misbehaving_connections.back()->Say(ConnectCall("one.internal:443") + std::string(60000, 'x'));
+          misbehaving_connections.back()->reads_enabled = false;
+          misbehaving_connections.back()->SendBytes(ConnectCall("one.internal:443") +
+                                                    std::string(60000, 'x'));
           break;
       }
       world.io.poll();
@@ -92,7 +95,7 @@
 TEST_P(Connections, OfAMisbehavingClientDoNotDegradeANormalClient) {
   const Case& c = GetParam();
   for (const auto& host : world.hosts) {
-    host->serve = [](const Peer::Taken& taken) {
+    host->serve = [](const Peer::ReceivedRequest& taken) {
       taken.Answer(200, std::string(taken.http["Req-Key"] == "long" ? 3000000 : 10, 'y'));
     };
   }
--- a/tests/crowd_test.cpp
+++ b/tests/crowd_test.cpp
@@ -71,10 +71,10 @@
   std::vector<Millis> received_deadlines;
   bool hosts_hold_answers = true;
   for (auto& host : world.hosts) {
-    host->serve = [&](const Peer::Taken& taken) {
+    host->serve = [&](const Peer::ReceivedRequest& taken) {
       if (taken.http["Req-Id"] != "waits") return hosts_hold_answers ? void() : taken.Answer(200, "");
       received_deadlines.push_back(std::stod(std::string(taken.http["Req-Deadline"])));
-      received_deadlines.size() == 1 ? taken.on->Reset() : taken.Answer(200, "");
+      received_deadlines.size() == 1 ? taken.source_connection->Reset() : taken.Answer(200, "");
     };
   }
   std::vector<std::unique_ptr<Client>> earlier_clients;
@@ -91,7 +91,7 @@
   ASSERT_TRUE(received_deadlines.empty()) << "the client has no session yet";
   hosts_hold_answers = false;
   for (auto& host : world.hosts) {
-    for (const Peer::Taken& taken : host->requests) taken.Answer(200, "");
+    for (const Peer::ReceivedRequest& taken : host->requests) taken.Answer(200, "");
   }
   EXPECT_EQ(queued_client->Await().result_int(), 200u);
   ASSERT_EQ(received_deadlines.size(), 2u);
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -25,7 +25,8 @@
 TEST_P(DiscoveryStall, IsFollowedByANewConnectionWithinTheNotificationTime) {
   World world(2);
   Peer& discovery = world.discovery;
-  for (auto& host : world.hosts) host->serve = [](const Peer::Taken& request) { request.Answer(200, ""); };
+  for (auto& host : world.hosts)
+    host->serve = [](const Peer::ReceivedRequest& request) { request.Answer(200, ""); };
   ASSERT_TRUE(world.Until([&] { return discovery.requests.size() == 1; }));
   if (GetParam() != Stall::kOnFirstPoll) {
     discovery.requests[0].Answer(200, List(42, false, {}).dump());
@@ -33,17 +34,19 @@
   }
   const Millis stalled_at = core::Now();
   const std::size_t polls_before_stall = discovery.requests.size();
-  const auto stalled_connection = discovery.requests.back().on;
+  const auto stalled_connection = discovery.requests.back().source_connection;
   const bool trickles = GetParam() == Stall::kTrickledAnswer;
   if (trickles || GetParam() == Stall::kInsideAnswer) {
-    stalled_connection->Raw("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{\"revision\":");
+    stalled_connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{\"revision\":");
   }
   Millis last_byte_at = 0;
   ASSERT_TRUE(world.Until([&] {
-    if (trickles && core::Now() - last_byte_at > 20) stalled_connection->Raw(" "), last_byte_at = core::Now();
+    if (trickles && core::Now() - last_byte_at > 20)
+      stalled_connection->WriteRaw(" "), last_byte_at = core::Now();
     return discovery.requests.size() > polls_before_stall;
   }));
-  EXPECT_NE(discovery.requests.back().on, stalled_connection) << "polls again on the connection that stalled";
+  EXPECT_NE(discovery.requests.back().source_connection, stalled_connection)
+      << "polls again on the connection that stalled";
   discovery.requests.back().Answer(
       200, List(43, false, {Member("h0", world.host(0).address(), "draining")}).dump());
   ASSERT_TRUE(world.Until([&] { return discovery.requests.size() > polls_before_stall + 1; }));
@@ -73,7 +76,7 @@
   world.discovery.requests[0].Answer(200, List(42, false, {}).dump());
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 2; }));
   EXPECT_EQ(world.discovery.connections.size(), 1u);
-  EXPECT_EQ(world.discovery.requests[1].on, world.discovery.requests[0].on);
+  EXPECT_EQ(world.discovery.requests[1].source_connection, world.discovery.requests[0].source_connection);
 }
 
 // A poll that was answered in time must not fail because the event loop was stalled at its deadline. The
@@ -90,7 +93,7 @@
   const std::string body = List(42, true, members).dump();
   error_code ec;
   asio::write(
-      world.discovery.requests[0].on->socket,
+      world.discovery.requests[0].source_connection->socket,
       asio::buffer("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body),
       ec);
   ASSERT_FALSE(ec);
@@ -132,7 +135,7 @@
   const rlimit low_limit{static_cast<rlim_t>(lowest_free) + 10, initial_limit.rlim_max};
   ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &low_limit), 0);
   use_all_descriptors();
-  peer.requests[0].on->Close();
+  peer.requests[0].source_connection->Close();
   EXPECT_TRUE(RunUntil(io, [&] { return peer.requests.size() == 2 || failures > 1; }));
   EXPECT_EQ(failures, 1);
   for (const int fd : used_descriptors) ::close(fd);
--- a/tests/exhaustion_test.cpp
+++ b/tests/exhaustion_test.cpp
@@ -118,7 +118,7 @@
       harness.io,
       harness.listen_address);  // connected in the kernel's backlog, not yet accepted by the program
   unaccepted_client.Send(ApiCall("waits"));
-  harness.discovery.requests.back().on->Close();  // the next poll needs a new connection
+  harness.discovery.requests.back().source_connection->Close();  // the next poll needs a new connection
   ExpectResponsiveWithoutBusyLoop(instance);
   EXPECT_TRUE(RunUntil(harness.io, [&] { return harness.discovery.requests.size() > polls_before; }))
       << "the removal of hosts must be discovered without a free descriptor too";
@@ -155,7 +155,7 @@
     if (i % 3 == 0) idle_clients.back()->Send(ApiCall("idle" + std::to_string(i)));
     harness.io.poll();
   }
-  harness.discovery.requests.back().on->Close();
+  harness.discovery.requests.back().source_connection->Close();
   EXPECT_TRUE(RunUntil(harness.io, [&] { return harness.discovery.requests.size() > polls_before; }));
   harness.discovery.requests.back().Answer(
       200, List(2, false, {Member("h0", harness.hosts[0]->address(), "draining")}).dump());
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -137,71 +137,81 @@
 // executed.
 struct HostFailure {
   std::string description;
-  std::function<void(const Peer::Taken&)> apply;
+  std::function<void(const Peer::ReceivedRequest&)> apply;
   bool may_have_been_executed;
 };
 
 const std::vector<HostFailure>& HostFailures() {
   static const std::vector<HostFailure> all = {
-      {"reset", [](const auto& received) { received.on->Reset(); }, true},
-      {"closed", [](const auto& received) { received.on->Close(); }, true},
+      {"reset", [](const auto& received) { received.source_connection->Reset(); }, true},
+      {"closed", [](const auto& received) { received.source_connection->Close(); }, true},
       {"truncated answer",
        [](const auto& received) {
-         received.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
-         asio::post(received.on->socket.get_executor(), [on = received.on] { on->Close(); });
+         received.source_connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
+         asio::post(received.source_connection->socket.get_executor(),
+                    [source_connection = received.source_connection] { source_connection->Close(); });
        },
        true},
       {"body without a length",
        [](const auto& received) {
-         received.on->Raw("HTTP/1.1 200 OK\r\n\r\nsome");
-         asio::post(received.on->socket.get_executor(), [on = received.on] { on->Close(); });
+         received.source_connection->WriteRaw("HTTP/1.1 200 OK\r\n\r\nsome");
+         asio::post(received.source_connection->socket.get_executor(),
+                    [source_connection = received.source_connection] { source_connection->Close(); });
        },
        true},
       {"two Content-Length fields",
        [](const auto& received) {
-         received.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok");
+         received.source_connection->WriteRaw(
+             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\nok");
        },
        true},
       {"Content-Length and Transfer-Encoding",
        [](const auto& received) {
-         received.on->Raw(
+         received.source_connection->WriteRaw(
              "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: "
              "chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n");
        },
        true},
       {"unsupported transfer coding",
        [](const auto& received) {
-         received.on->Raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n");
+         received.source_connection->WriteRaw(
+             "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip, chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n");
        },
        true},
       {"negative Content-Length",
-       [](const auto& received) { received.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok"); },
+       [](const auto& received) {
+         received.source_connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nok");
+       },
        true},
       {"announced body of 3 GB",  // rejected by the header, without waiting for the body
        [](const auto& received) {
-         received.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok");
+         received.source_connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok");
        },
        true},
       {"endless header",
-       [](const auto& received) { received.on->Raw("HTTP/1.1 200 OK\r\nX: " + std::string(70000, 'x')); },
+       [](const auto& received) {
+         received.source_connection->WriteRaw("HTTP/1.1 200 OK\r\nX: " + std::string(70000, 'x'));
+       },
        true},
       {"unlimited interim answers",
        [](const auto& received) {
          std::string text;
          for (int i = 0; i < 50; ++i) text += "HTTP/1.1 102 Processing\r\n\r\n";
-         received.on->Raw(text);
+         received.source_connection->WriteRaw(text);
        },
        true},
       {"truncated header",
        [](const auto& received) {
-         received.on->Raw("HTTP/1.1 200 OK\r\nContent-");
-         asio::post(received.on->socket.get_executor(), [on = received.on] { on->Close(); });
+         received.source_connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-");
+         asio::post(received.source_connection->socket.get_executor(),
+                    [source_connection = received.source_connection] { source_connection->Close(); });
        },
        true},
-      {"no HTTP", [](const auto& received) { received.on->Raw("220 mail ready\r\n\r\n"); }, true},
+      {"no HTTP",
+       [](const auto& received) { received.source_connection->WriteRaw("220 mail ready\r\n\r\n"); }, true},
       {"body too large",
        [](const auto& received) {
-         received.on->Raw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx");
+         received.source_connection->WriteRaw("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx");
        },
        true},
       {"error", [](const auto& received) { received.Answer(500, "oops"); }, true},
@@ -227,7 +237,7 @@
     World world(2);
     int attempts_received = 0;
     for (std::size_t i = 0; i < 2; ++i) {
-      world.host(i).serve = [&](const Peer::Taken& taken) {
+      world.host(i).serve = [&](const Peer::ReceivedRequest& taken) {
         if (attempts_received++ == 0) return host_failure.apply(taken);
         taken.Answer(200, "second");
       };
@@ -247,7 +257,7 @@
     World world(2);
     int attempts_received = 0;
     for (std::size_t i = 0; i < 2; ++i) {
-      world.host(i).serve = [&](const Peer::Taken& taken) {
+      world.host(i).serve = [&](const Peer::ReceivedRequest& taken) {
         if (attempts_received++ == 0) return host_failure.apply(taken);
         taken.Answer(200, "second");
       };
@@ -261,13 +271,13 @@
 // Sends 160 sequential requests through a gateway with four hosts and returns the gateway's log. Each host
 // calls `fail` for every fourth request that it gets and answers the others. Every request must be sent to a
 // host.
-std::string LogWhileEveryFourthRequestFails(const std::function<void(const Peer::Taken&)>& fail) {
+std::string LogWhileEveryFourthRequestFails(const std::function<void(const Peer::ReceivedRequest&)>& fail) {
   ::testing::internal::CaptureStderr();
   {
     World world(4);
     std::array<int, 4> requests_received{};
     for (std::size_t i = 0; i < requests_received.size(); ++i) {
-      world.host(i).serve = [&, i](const Peer::Taken& request) {
+      world.host(i).serve = [&, i](const Peer::ReceivedRequest& request) {
         ++requests_received[i] % 4 == 0 ? fail(request) : request.Answer(200, "");
       };
     }
@@ -282,8 +292,8 @@
 
 // Guards against ejecting hosts for resets that occur equally on all of them: soon no host would be left.
 TEST(Gateway, DoesNotEjectHostsThatAllResetEquallyOften) {
-  const auto log_text =
-      LogWhileEveryFourthRequestFails([](const Peer::Taken& request) { request.on->Reset(); });
+  const auto log_text = LogWhileEveryFourthRequestFails(
+      [](const Peer::ReceivedRequest& request) { request.source_connection->Reset(); });
   EXPECT_EQ(log_text.find("endpoint_ejected"), std::string::npos) << log_text;
 }
 
@@ -291,7 +301,7 @@
 // only one request in flight at a time.
 TEST(Gateway, DoesNotReduceTheRateForFailuresOfIdleHosts) {
   const auto log_text =
-      LogWhileEveryFourthRequestFails([](const Peer::Taken& request) { request.Answer(500, ""); });
+      LogWhileEveryFourthRequestFails([](const Peer::ReceivedRequest& request) { request.Answer(500, ""); });
   EXPECT_EQ(log_text.find("dispatch_rate_reduced"), std::string::npos) << log_text;
 }
 
@@ -317,7 +327,7 @@
   two->Await();
 
   int declined_requests = 0;
-  world.host(0).serve = [&](const Peer::Taken& request) {
+  world.host(0).serve = [&](const Peer::ReceivedRequest& request) {
     ++declined_requests;
     request.Answer(503, "", "Srv-Declined", "1");
   };
@@ -337,7 +347,7 @@
   settings.erase("report");
   World world(1, settings);
   Peer& host = world.host();
-  host.serve = [&](const Peer::Taken& taken) {
+  host.serve = [&](const Peer::ReceivedRequest& taken) {
     if (taken.http["Req-Id"].starts_with("lost")) return;
     const auto work = std::make_shared<asio::steady_timer>(world.io, std::chrono::milliseconds(50));
     work->async_wait([work, taken](error_code) { taken.Answer(200, ""); });
@@ -408,11 +418,11 @@
   one->Await();
   host.requests[1].Answer(200, "");
   two->Await();
-  world.LetHostsRest();
+  world.WaitUntilConnectionsReusable();
   one->Send(ApiCall("r3"));
   ASSERT_TRUE(world.Until([&] { return host.requests.size() == 3; }));
   EXPECT_EQ(host.connections.size(), 2u);
-  EXPECT_EQ(host.requests[2].on, host.requests[1].on);
+  EXPECT_EQ(host.requests[2].source_connection, host.requests[1].source_connection);
 }
 
 // Guards against a write to a connection that the host closed while it was idle: an unsafe request would fail
@@ -420,7 +430,7 @@
 TEST(Gateway, DetectsAConnectionClosedWhileIdle) {
   World world;
   Peer& host = world.host();
-  host.serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  host.serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
   const auto client = world.Connect();
   for (std::size_t i = 1; i <= 6; ++i) {
     client->Send(ApiCall("r" + std::to_string(i), "pay"));
@@ -453,7 +463,7 @@
   const auto client = world.Connect();
   client->Send(ApiCall("r1", "pay"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  world.host().requests[0].on->Raw(
+  world.host().requests[0].source_connection->WriteRaw(
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n"
       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfinal");
   EXPECT_EQ(client->Await().result(), http::status::ok);
@@ -472,15 +482,15 @@
     ASSERT_TRUE(world.Until([&] { return host.requests.size() == 1; }));
     const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none",
                       surplus_bytes = "HTTP/1.1 200 OK\r\nConte";
-    host.requests[0].on->Raw(in_one_write ? answer + surplus_bytes : answer);
+    host.requests[0].source_connection->WriteRaw(in_one_write ? answer + surplus_bytes : answer);
     EXPECT_EQ(client->Await().body(), "one");
     if (!in_one_write) {
-      host.requests[0].on->Raw(surplus_bytes);
+      host.requests[0].source_connection->WriteRaw(surplus_bytes);
       EXPECT_TRUE(world.Until([&] { return host.connections[0]->ended; }));
     }
     client->Send(ApiCall("r2"));
     ASSERT_TRUE(world.Until([&] { return host.requests.size() == 2; }));
-    EXPECT_NE(host.requests[1].on, host.requests[0].on);
+    EXPECT_NE(host.requests[1].source_connection, host.requests[0].source_connection);
     host.requests[1].Answer(200, "two");
     EXPECT_EQ(client->Await(2).body(), "two");
   }
@@ -655,7 +665,7 @@
   World world;
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() == 1; }));
   Peer new_discovery(world.io), host(world.io);
-  host.serve = [](const Peer::Taken& taken) { taken.Answer(200, "new"); };
+  host.serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, "new"); };
   meadowyard::config::Configuration config = world.config;
   config.discovery_address = new_discovery.address();
   // Still in flight when the address changes: the host that it lists must not be used.
@@ -682,7 +692,7 @@
   const auto client = world.Connect();
   client->Send(ApiCall("r1"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  client->Leave();
+  client->CloseConnection();
   EXPECT_TRUE(world.Until([&] { return world.host().connections[0]->ended; }));
   const auto other = world.Connect();  // the id can be used again, and the gateway goes on serving
   other->Send(ApiCall("r1"));
@@ -695,7 +705,9 @@
 // answer.
 TEST(Gateway, AnswersPipelinedRequestsInOrder) {
   World world;
-  world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, std::string(taken.http["Req-Id"])); };
+  world.host().serve = [](const Peer::ReceivedRequest& taken) {
+    taken.Answer(200, std::string(taken.http["Req-Id"]));
+  };
   const auto client = world.Connect();
   client->Send(ApiCall("r1") + ApiCall("r2") + ApiCall("r3"));
   client->Await(3);
@@ -707,7 +719,8 @@
 // connections to it must be closed.
 TEST(Gateway, SendsNoRequestToADrainingHost) {
   World world(2);
-  for (auto& host : world.hosts) host->serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  for (auto& host : world.hosts)
+    host->serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
   const auto client = world.Connect();
   std::size_t sent = 0;
   while (world.host(0).requests.empty() && sent < 1000) {
@@ -826,7 +839,7 @@
   EXPECT_NE(target_of_call(4).find("after=42&"), std::string::npos);
   discovery.requests[3].Answer(503, "");
   EXPECT_NE(target_of_call(5).find("after=42&"), std::string::npos);
-  discovery.requests[4].on->Reset();
+  discovery.requests[4].source_connection->Reset();
   EXPECT_NE(target_of_call(6).find("after=42&"), std::string::npos);
   discovery.requests[5].Answer(200, List(44, true, {Member("h0", world.host().address())}).dump());
   EXPECT_NE(target_of_call(7).find("after=44&"), std::string::npos);
@@ -836,7 +849,7 @@
 // closed in favour of new ones.
 TEST(Gateway, ServesNewClientsDuringAConnectionFlood) {
   World world(1, TestSettings(), 200);  // 200 descriptors, of which 90 are for clients
-  world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  world.host().serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
   std::vector<std::unique_ptr<Client>> flood_clients;
   for (int i = 0; i < 150; ++i) {
     flood_clients.push_back(world.Connect());
@@ -871,7 +884,7 @@
 // a stop they stay open, because clients then have no connections other than the kept ones.
 TEST(Gateway, ClosesTheLongestIdleConnectionsAboveTheClientShare) {
   World world(1, TestSettings(), 100);
-  world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  world.host().serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
   std::vector<std::unique_ptr<Client>> clients;
   const auto ask_once = [&] {
     clients.push_back(world.Connect());
@@ -917,10 +930,10 @@
     EXPECT_EQ(client->Await().result(), http::status::ok);
     EXPECT_FALSE(client->Await().keep_alive());
     EXPECT_TRUE(client->AwaitEnd());
-    client->Leave();
+    client->CloseConnection();
   }
-  late->Leave();
-  idle->Leave();
+  late->CloseConnection();
+  idle->CloseConnection();
   EXPECT_TRUE(world.Until([&] { return done; }));
 }
 
@@ -928,7 +941,7 @@
 // gateway yet: until the drain begins, kept-alive connections must stay usable.
 TEST(Gateway, ServesKeptConnectionsUntilItDrains) {
   World world;
-  world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  world.host().serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
   const auto client = world.Connect();
   bool done = false;
   world.gateway->Stop([&] { done = true; }, {1, 1000, 20000});
--- a/tests/leave_test.cpp
+++ b/tests/leave_test.cpp
@@ -49,7 +49,8 @@
 TEST_P(ClientDisconnect, NoAttemptIsSentAfterwards) {
   const auto& [stage, disconnect, extra_data] = GetParam();
   World world(2, Settings(), 300, true);
-  for (auto& host : world.hosts) host->serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+  for (auto& host : world.hosts)
+    host->serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
   // A host whose accept queue is full: connecting to it hangs.
   tcp::acceptor full_listener(world.io, tcp::v4());
   full_listener.bind(Loopback());
@@ -60,10 +61,10 @@
   const auto initial_address =
       stage == Stage::kConnecting ? full_listener.local_endpoint() : world.host(0).address();
   const bool is_available = stage == Stage::kConnecting || stage == Stage::kBetweenAttempts;
-  world.Tell(50, {Member("h0", initial_address, is_available ? "up" : "draining")}, true);
+  world.SetDiscoveredHosts(50, {Member("h0", initial_address, is_available ? "up" : "draining")}, true);
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() >= 2; }));
   if (stage == Stage::kBetweenAttempts) {
-    world.host(0).serve = [](const Peer::Taken& taken) { taken.on->Reset(); };
+    world.host(0).serve = [](const Peer::ReceivedRequest& taken) { taken.source_connection->Reset(); };
   }
   const std::size_t descriptors_before = CountOpenDescriptors();
 
@@ -73,17 +74,18 @@
     text.insert(text.size() - 2, "Content-Length: 1000000\r\n");
     text += std::string(80000, 'x');
   }
-  client->Say(text);
+  client->SendBytes(text);
   ASSERT_TRUE(world.Until([&] {
     const bool attempt_sent = stage != Stage::kBetweenAttempts || !world.host(0).requests.empty();
-    return client->said == text.size() && attempt_sent &&
-           world.Figures()["current"] >= (is_available ? 1 : 0);
+    return client->sent_byte_count == text.size() && attempt_sent &&
+           world.ReadMetrics()["current"] >= (is_available ? 1 : 0);
   }));
-  client->Say(TextOf(extra_data));
-  ASSERT_TRUE(world.Until([&] { return client->said == text.size() + TextOf(extra_data).size(); }));
+  client->SendBytes(TextOf(extra_data));
+  ASSERT_TRUE(
+      world.Until([&] { return client->sent_byte_count == text.size() + TextOf(extra_data).size(); }));
   while (world.io.poll() > 0) {  // the gateway processes all of this data before the disconnect
   }
-  ASSERT_EQ(client->all, 0u) << "answered before the disconnect: " << client->got;
+  ASSERT_EQ(client->received_byte_count, 0u) << "answered before the disconnect: " << client->received_bytes;
   switch (disconnect) {
     case Disconnect::kClose: client->socket.close(); break;
     case Disconnect::kReset: client->Reset(); break;
@@ -113,8 +115,8 @@
     }));
     EXPECT_EQ(bytes, "");
   }
-  world.Tell(51, {Member("h0", world.host(0).address(), "draining"), Member("h1", world.host(1).address())},
-             true);
+  world.SetDiscoveredHosts(
+      51, {Member("h0", world.host(0).address(), "draining"), Member("h1", world.host(1).address())}, true);
   Client other_client(world.io, world.gateway->address());
   bool served = false;
   for (std::size_t i = 1; i <= 200 && !served; ++i) {
@@ -123,12 +125,12 @@
   }
   EXPECT_TRUE(served);
   EXPECT_EQ(world.host(0).requests.size(), requests_sent);
-  for (const Peer::Taken& taken : world.host(1).requests) {
+  for (const Peer::ReceivedRequest& taken : world.host(1).requests) {
     EXPECT_TRUE(taken.http["Req-Id"].starts_with("other")) << taken.http["Req-Id"];
   }
   EXPECT_LE(world.host(1).connections.size(), world.host(1).requests.size())
       << "received an incomplete request";
-  EXPECT_EQ(world.Figures()["current"], 0);
+  EXPECT_EQ(world.ReadMetrics()["current"], 0);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -171,7 +173,7 @@
   const auto& [pending_event, disconnect, extra_data] = GetParam();
   World world(2, ClientDisconnect::Settings());
   for (auto& host : world.hosts) {
-    host->serve = [](const Peer::Taken& taken) {
+    host->serve = [](const Peer::ReceivedRequest& taken) {
       if (taken.http["Req-Id"] != "held") taken.Answer(200, "");
     };
   }
@@ -183,7 +185,7 @@
   tcp::socket queue_filler(world.io);
   queue_filler.connect(full_listener.local_endpoint());
   if (pending_event == PendingEvent::kConnectionSetup) {
-    world.Tell(50, {Member("h0", full_listener.local_endpoint())}, true);
+    world.SetDiscoveredHosts(50, {Member("h0", full_listener.local_endpoint())}, true);
     ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() >= 2; }));
   }
 
@@ -197,7 +199,7 @@
     second_client.Send(ApiCall("warm2-" + std::to_string(i)));
     ASSERT_EQ(first_client.Await().result_int() + second_client.Await().result_int(), 400u);
   }
-  world.LetHostsRest();
+  world.WaitUntilConnectionsReusable();
   for (auto& host : world.hosts) host->requests.clear();
 
   tcp::socket client(world.io);
@@ -208,14 +210,14 @@
   if (pending_event == PendingEvent::kRequestOnPersistentConnection) {
     write_to_gateway(ApiCall("first"));
     ASSERT_TRUE(world.Until([&] { return client.available(ec) > 0; }));
-    world.LetHostsRest();
+    world.WaitUntilConnectionsReusable();
     earlier_requests = 1;
   } else if (pending_event == PendingEvent::kFailedAttempt) {
     write_to_gateway(ApiCall("held"));
     ASSERT_TRUE(world.Until([&] { return count_requests() == 1; }));
     earlier_requests = 1;
     Peer& host = world.host(world.host(0).requests.empty() ? 1 : 0);
-    host.requests[0].on->Reset();
+    host.requests[0].source_connection->Reset();
   } else if (pending_event == PendingEvent::kConnectionSetup) {
     write_to_gateway(ApiCall("left"));
     Client probe(world.io, world.gateway->address());  // its answer shows that the request above was read
@@ -233,7 +235,8 @@
   DisconnectClient(client, disconnect);
 
   // A later client is served only after the gateway has processed all of these events.
-  world.Tell(51, {Member("h0", world.host(0).address()), Member("h1", world.host(1).address())}, true);
+  world.SetDiscoveredHosts(51, {Member("h0", world.host(0).address()), Member("h1", world.host(1).address())},
+                           true);
   Client other_client(world.io, world.gateway->address());
   bool served = false;
   for (std::size_t i = 1; i <= 200 && !served; ++i) {
@@ -248,7 +251,7 @@
         << "data was sent for the disconnected client";
   }
   for (const auto& host : world.hosts) {
-    for (const Peer::Taken& taken : host->requests) {
+    for (const Peer::ReceivedRequest& taken : host->requests) {
       const std::string id(taken.http["Req-Id"]);
       EXPECT_TRUE(id.starts_with("other") || (earlier_requests > 0 && (id == "first" || id == "held"))) << id;
       earlier_requests -= id == "first" || id == "held";
--- a/tests/operations/admin_test.cpp
+++ b/tests/operations/admin_test.cpp
@@ -174,7 +174,7 @@
 TEST(Admin, SendsNoRequestsToAHostInMaintenance) {
   World world(2, TestSettings(), 300, true);
   for (const auto& host : world.hosts) {
-    host->serve = [](const Peer::Taken& taken) { taken.Answer(200, ""); };
+    host->serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, ""); };
   }
   const auto client = world.Connect();
   std::size_t requests_sent = 0;
--- a/tests/peers.hpp
+++ b/tests/peers.hpp
@@ -1,5 +1,5 @@
-// The other side of the gateway's sockets, for tests: scripted servers and clients on loopback. They share
-// the gateway's event loop, and tests wait for what they expect instead of for time to pass.
+// Scripted HTTP servers and clients on loopback that act as the gateway's peers in tests. They share the
+// gateway's event loop. Tests wait for conditions rather than for fixed delays.
 #ifndef MEADOWYARD_TESTS_PEERS_HPP_
 #define MEADOWYARD_TESTS_PEERS_HPP_
 
@@ -29,26 +29,28 @@
 
 inline tcp::endpoint Loopback(unsigned short port = 0) { return {asio::ip::address_v4::loopback(), port}; }
 
-inline std::string ToText(const tcp::endpoint& at) {
-  return at.address().to_string() + ":" + std::to_string(at.port());
+inline std::string ToText(const tcp::endpoint& socket_address) {
+  return socket_address.address().to_string() + ":" + std::to_string(socket_address.port());
 }
 
-// Runs the loop until `done`; false after half a minute, which no healthy run comes near.
-template <typename Done>
-bool RunUntil(asio::io_context& io, Done done) {
+// Runs the event loop until `condition` returns true; returns false after 30 s, far longer than a passing
+// test needs.
+template <typename Condition>
+bool RunUntil(asio::io_context& io, Condition condition) {
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(30);
-  while (!done()) {
+  while (!condition()) {
     if (std::chrono::steady_clock::now() > end) return false;
     io.run_one_for(std::chrono::milliseconds(50));
   }
   return true;
 }
 
-// A server that keeps each request until the test says what becomes of it.
+// An HTTP server that records each request and answers only when the test calls Answer() on it or
+// `serve` does so.
 class Peer {
  public:
   struct Connection : std::enable_shared_from_this<Connection> {
-    Connection(Peer& owner, tcp::socket s) : peer(owner), socket(std::move(s)) {}
+    Connection(Peer& owner, tcp::socket accepted_socket) : peer(owner), socket(std::move(accepted_socket)) {}
 
     void Read() {
       parser.emplace();
@@ -63,10 +65,10 @@
         if (self->peer.serve) self->peer.serve(self->peer.requests.back());
       });
     }
-    void Raw(std::string text) {
-      const auto kept = std::make_shared<std::string>(std::move(text));
-      asio::async_write(socket, asio::buffer(*kept),
-                        [kept, self = shared_from_this()](error_code, std::size_t) {});
+    void WriteRaw(std::string text) {
+      const auto pending_text = std::make_shared<std::string>(std::move(text));
+      asio::async_write(socket, asio::buffer(*pending_text),
+                        [pending_text, self = shared_from_this()](error_code, std::size_t) {});
     }
     void Close() {
       error_code ignored;
@@ -82,12 +84,12 @@
     tcp::socket socket;
     boost::beast::flat_buffer buffer;
     std::optional<http::request_parser<http::string_body>> parser;
-    bool ended = false;  // by the gateway
+    bool ended = false;  // reading failed: closed or reset by the gateway, or malformed data
   };
 
-  struct Taken {
+  struct ReceivedRequest {
     HttpRequest http;
-    std::shared_ptr<Connection> on;
+    std::shared_ptr<Connection> source_connection;  // the connection on which the request arrived
 
     void Answer(int status, std::string body, const std::string& field = "",
                 const std::string& value = "") const {
@@ -97,7 +99,7 @@
       if (!field.empty()) response.set(field, value);
       std::ostringstream text;
       text << response;
-      on->Raw(text.str());
+      source_connection->WriteRaw(text.str());
     }
   };
 
@@ -109,9 +111,9 @@
   tcp::endpoint address() const { return acceptor_.local_endpoint(); }
   void StopListening() { acceptor_.close(); }
 
-  std::vector<Taken> requests;
+  std::vector<ReceivedRequest> requests;
   std::vector<std::shared_ptr<Connection>> connections;
-  std::function<void(const Taken&)> serve;  // if set, called for each request
+  std::function<void(const ReceivedRequest&)> serve;  // if set, called for each request
 
  private:
   void Accept() {
@@ -127,41 +129,44 @@
   tcp::acceptor acceptor_;
 };
 
-// A client on one connection.
+// An HTTP client with one connection to the gateway, opened by the constructor.
 class Client {
  public:
-  Client(asio::io_context& io, const tcp::endpoint& at) : io_(io), state_(std::make_shared<State>(io)) {
-    state_->socket.connect(at);
+  Client(asio::io_context& io, const tcp::endpoint& socket_address)
+      : io_(io), state_(std::make_shared<State>(io)) {
+    state_->socket.connect(socket_address);
     Read(state_);
   }
-  ~Client() { Leave(); }
+  ~Client() { CloseConnection(); }
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
   void Send(const std::string& text) {
-    error_code ignored;  // a gateway may close on what it has read enough of
+    error_code ignored;  // the gateway may close the connection before it has read all of the text
     asio::write(state_->socket, asio::buffer(text), ignored);
   }
-  void Leave() {
+  void CloseConnection() {
     error_code ignored;
     state_->socket.close(ignored);
   }
 
-  // Waits until `n` answers in all have come, and gives the last of them.
-  const HttpResponse& Await(std::size_t n = 1) {
+  // Waits until `answer_count` answers have been received on this connection in total, and returns the last
+  // of them.
+  const HttpResponse& Await(std::size_t answer_count = 1) {
     static const HttpResponse kNone(http::status::unknown, 11);
-    if (RunUntil(io_, [&] { return answers().size() >= n; })) return answers()[n - 1];
-    ADD_FAILURE() << "no answer " << n;
+    if (RunUntil(io_, [&] { return answers().size() >= answer_count; })) return answers()[answer_count - 1];
+    ADD_FAILURE() << "no answer " << answer_count;
     return kNone;
   }
   bool AwaitEnd() {
     return RunUntil(io_, [&] { return ended(); });
   }
   const std::vector<HttpResponse>& answers() const { return state_->answers; }
-  bool ended() const { return state_->ended; }  // by the gateway
+  // Whether reading failed: closed or reset by the gateway, or malformed data.
+  bool ended() const { return state_->ended; }
 
  private:
-  struct State {  // outlives the client until its last read has ended
+  struct State {  // kept alive by the pending read after the client is destroyed
     explicit State(asio::io_context& io) : socket(io) {}
     tcp::socket socket;
     boost::beast::flat_buffer buffer;
@@ -187,35 +192,41 @@
   const std::shared_ptr<State> state_;
 };
 
-// A request as clients send it. `more` holds further header lines, each with its line end.
-inline std::string ApiCall(const std::string& id, const std::string& cls = "view",
+// The text of a client request. `extra_header_lines` holds additional header lines, each terminated by CRLF.
+inline std::string ApiCall(const std::string& id, const std::string& class_name = "view",
                            const std::string& deadline = "5000m", const std::string& body = "",
-                           const std::string& more = "") {
-  const bool safe = cls == "view";
-  std::string text = std::string(safe ? "GET" : "POST") + " /api HTTP/1.1\r\nHost: backend.local\r\n";
-  text += "Req-Id: " + id + "\r\nReq-Kind: " + cls + "\r\nReq-Deadline: " + deadline + "\r\n" + more;
-  if (!safe || !body.empty()) text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
+                           const std::string& extra_header_lines = "") {
+  const bool is_safe = class_name == "view";
+  std::string text = std::string(is_safe ? "GET" : "POST") + " /api HTTP/1.1\r\nHost: backend.local\r\n";
+  text += "Req-Id: " + id + "\r\nReq-Kind: " + class_name + "\r\nReq-Deadline: " + deadline + "\r\n" +
+          extra_header_lines;
+  if (!is_safe || !body.empty()) text += "Content-Length: " + std::to_string(body.size()) + "\r\n";
   return text + "\r\n" + body;
 }
 
-// A member of discovery's list.
-inline nlohmann::json Member(const std::string& id, const tcp::endpoint& at,
+// A host entry of the list that discovery serves.
+inline nlohmann::json Member(const std::string& id, const tcp::endpoint& socket_address,
                              const std::string& phase = "up") {
-  return {{"id", id},  {"host_port", ToText(at)}, {"locality", "a"}, {"flavor", "m"},
-          {"cell", 0}, {"phase", phase},          {"size", 1.0},     {"up_since_ms", 0}};
+  return {{"id", id},        {"host_port", ToText(socket_address)},
+          {"locality", "a"}, {"flavor", "m"},
+          {"cell", 0},       {"phase", phase},
+          {"size", 1.0},     {"up_since_ms", 0}};
 }
 
 inline nlohmann::json List(int revision, bool complete, std::vector<nlohmann::json> members) {
   return {{"revision", revision}, {"complete", complete}, {"members", std::move(members)}};
 }
 
-// The configuration's settings: one safe class and one unsafe, with aims far above what a busy machine needs.
+// Settings for the configuration file: the safe class `view`, `key` with idempotency keys and the unsafe
+// class `pay`. Their latency targets are far longer than a loaded machine needs.
 inline nlohmann::json TestSettings() {
-  const auto cls = [](const char* name, const char* effect) {
-    return nlohmann::json{{"name", name},      {"sloMs", 20000.0},      {"deadlineMs", 20000.0},
-                          {"importance", 1.0}, {"idempotency", effect}, {"lateWorth", 0.0}};
+  const auto class_settings = [](const char* name, const char* idempotency) {
+    return nlohmann::json{{"name", name},      {"sloMs", 20000.0},           {"deadlineMs", 20000.0},
+                          {"importance", 1.0}, {"idempotency", idempotency}, {"lateWorth", 0.0}};
   };
-  return {{"categories", {cls("view", "pure"), cls("key", "token"), cls("pay", "side_effect")}},
+  return {{"categories",
+           {class_settings("view", "pure"), class_settings("key", "token"),
+            class_settings("pay", "side_effect")}},
           {"membershipMode", "ask"},
           {"limits",
            {{"maxAttempts", 4},
@@ -226,7 +237,7 @@
             {"maxRetryAfterMs", 2000.0}}},
           {"report", {{"fields", {"inflight", "util"}}, {"source", "answers"}}},
           {"zone", "a"},
-          {"somethingNew", {{"never", "heard of"}}}};
+          {"somethingNew", {{"never", "heard of"}}}};  // an unknown setting must be ignored
 }
 
 }  // namespace meadowyard::testing
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -134,7 +134,7 @@
     EXPECT_EQ(client.Await().result_int(), test_case.status);
     EXPECT_TRUE(client.AwaitEnd());
     EXPECT_EQ(client.answers().size(), 1u);
-    client.Leave();
+    client.CloseConnection();
     EXPECT_TRUE(RunUntil(io, [&] { return process.Ended(); }));
     EXPECT_EQ(process.Wait(), 0);
     EXPECT_LE(host.requests.size(), 1u);
@@ -153,7 +153,7 @@
     const std::string discovery_address = ToText(discovery.address());
     if (fault == DiscoveryFault::kUnreachable) discovery.StopListening();
     if (fault == DiscoveryFault::kRejectsCalls)
-      discovery.serve = [](const Peer::Taken& request) { request.Answer(503, ""); };
+      discovery.serve = [](const Peer::ReceivedRequest& request) { request.Answer(503, ""); };
     const nlohmann::json config = {{"seed", "1f"},
                                    {"known", List(1, true, {Member("h0", host.address())})},
                                    {"settings", TestSettings()}};
@@ -214,15 +214,15 @@
     if (arrival == UpdateArrival::kPendingInSocket) {
       const std::string update = snapshot(50, "draining");
       error_code ec;
-      asio::write(harness.discovery.requests.back().on->socket,
+      asio::write(harness.discovery.requests.back().source_connection->socket,
                   asio::buffer("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(update.size()) +
                                "\r\n\r\n" + update),
                   ec);
       ASSERT_FALSE(ec);
     }
     bool fail_next_call = arrival == UpdateArrival::kAfterFailedPoll;
-    harness.discovery.serve = [&](const Peer::Taken& call) {
-      if (std::exchange(fail_next_call, false)) return call.on->Reset();
+    harness.discovery.serve = [&](const Peer::ReceivedRequest& call) {
+      if (std::exchange(fail_next_call, false)) return call.source_connection->Reset();
       if (call.http.target().find("after=50") == std::string::npos)
         call.Answer(200, snapshot(50, "draining"));
     };
--- a/tests/race_test.cpp
+++ b/tests/race_test.cpp
@@ -19,9 +19,10 @@
   const std::string body(300000, 'x');
   std::size_t complete_requests = 0, requests_received = 0;
   for (auto& host : world.hosts) {
-    host->serve = [&](const Peer::Taken& taken) {
+    host->serve = [&](const Peer::ReceivedRequest& taken) {
       complete_requests += taken.http.body().size() == body.size();
-      if (std::exchange(requests_received, requests_received + 1) == 0) return taken.on->Reset();
+      if (std::exchange(requests_received, requests_received + 1) == 0)
+        return taken.source_connection->Reset();
       taken.Answer(200, "");
     };
   }
@@ -63,7 +64,7 @@
   EXPECT_EQ(client.Await(2).result(), http::status::ok);
   EXPECT_FALSE(client.Await(2).keep_alive());
   EXPECT_TRUE(client.AwaitEnd());
-  client.Leave();
+  client.CloseConnection();
   EXPECT_TRUE(RunUntil(io, [&] { return done; }));
 }
 
@@ -161,19 +162,19 @@
     const auto client = world.Connect();
     client->Send(ApiCall("r1", "pay", std::to_string(static_cast<int>(kClientTimeout)) + "m"));
     ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-    const auto on = world.host().requests[0].on;
+    const auto source_connection = world.host().requests[0].source_connection;
     const Millis started_at = core::Now();
-    on->Raw(c.first_bytes);
+    source_connection->WriteRaw(c.first_bytes);
     Millis last_sent_at = 0;
     ASSERT_TRUE(world.Until([&] {
-      if (!on->ended && core::Now() - last_sent_at > 10)
-        on->Raw(c.repeated_bytes), last_sent_at = core::Now();
+      if (!source_connection->ended && core::Now() - last_sent_at > 10)
+        source_connection->WriteRaw(c.repeated_bytes), last_sent_at = core::Now();
       return !client->answers().empty();
     }));
     EXPECT_LE(core::Now() - started_at, kClientTimeout + kMaxAnswerDelay);
     EXPECT_GE(client->answers()[0].result_int(), 500u);
     EXPECT_NE(client->answers()[0].result_int(), 503u) << "the request may have been executed";
-    EXPECT_TRUE(world.Until([&] { return on->ended; }));
+    EXPECT_TRUE(world.Until([&] { return source_connection->ended; }));
     EXPECT_EQ(world.host().requests.size(), 1u);
     EXPECT_EQ(client->answers().size(), 1u);
   }
@@ -255,10 +256,11 @@
   const auto client = world.Connect();
   client->Send(ApiCall("k1", "key", "9000m", "", "Idempotency-Key: k\r\n"));
   ASSERT_TRUE(world.Until([&] { return world.host().requests.size() == 1; }));
-  world.Tell(50, {Member("h0", world.host().address()), Member("h1", full_acceptor.local_endpoint())}, true);
+  world.SetDiscoveredHosts(
+      50, {Member("h0", world.host().address()), Member("h1", full_acceptor.local_endpoint())}, true);
   ASSERT_TRUE(world.Until([&] { return world.discovery.requests.size() >= 2; }));
   const Millis reset_at = core::Now();
-  world.host().requests[0].on->Reset();
+  world.host().requests[0].source_connection->Reset();
   ASSERT_TRUE(world.Until([&] { return core::Now() - reset_at > kRepeatWindow; }));
   ASSERT_TRUE(client->answers().empty()) << "the retry is pending, and its connect does not complete";
   full_acceptor.accept();  // the filling connection: frees a place in the backlog
--- a/tests/raw_peers.hpp
+++ b/tests/raw_peers.hpp
@@ -1,5 +1,5 @@
-// Stand-ins that speak in bytes, for tests of tunnels: a server with a habit, and a client that says what it
-// is told.
+// Raw TCP test peers for tunnel tests: a server with a configurable connection handler, and a client that
+// sends arbitrary bytes.
 #ifndef MEADOWYARD_TESTS_RAW_PEERS_HPP_
 #define MEADOWYARD_TESTS_RAW_PEERS_HPP_
 
@@ -12,29 +12,35 @@
 
 namespace meadowyard::testing {
 
-// One end of a connection that reads all it can, unless it is told not to.
+// One end of a TCP connection. It reads continuously until `reads_enabled` is cleared. `ended` is set when
+// the peer closed its sending side, `reset` on any other read error except a local close.
 struct RawEnd : std::enable_shared_from_this<RawEnd> {
-  explicit RawEnd(tcp::socket s) : socket(std::move(s)) {}
+  explicit RawEnd(tcp::socket connected_socket) : socket(std::move(connected_socket)) {}
 
   void Read() {
-    if (!reads) return;
-    socket.async_read_some(asio::buffer(piece), [self = shared_from_this()](error_code ec, std::size_t n) {
-      if (ec) {
-        self->ended = ec == asio::error::eof;
-        self->reset = !self->ended && ec != asio::error::operation_aborted;
-        if (self->at_end) self->at_end();
-        return;
-      }
-      self->all += n;
-      if (self->keeps) self->got.append(self->piece.data(), n);
-      if (self->heard) self->heard(std::string_view(self->piece.data(), n));
-      self->Read();
-    });
+    if (!reads_enabled) return;
+    socket.async_read_some(asio::buffer(read_buffer),
+                           [self = shared_from_this()](error_code ec, std::size_t n) {
+                             if (ec) {
+                               self->ended = ec == asio::error::eof;
+                               self->reset = !self->ended && ec != asio::error::operation_aborted;
+                               if (self->on_connection_end) self->on_connection_end();
+                               return;
+                             }
+                             self->received_byte_count += n;
+                             if (self->stores_received_bytes)
+                               self->received_bytes.append(self->read_buffer.data(), n);
+                             if (self->on_bytes_received)
+                               self->on_bytes_received(std::string_view(self->read_buffer.data(), n));
+                             self->Read();
+                           });
   }
-  void Say(std::string text) {
-    const auto kept = std::make_shared<std::string>(std::move(text));
-    asio::async_write(socket, asio::buffer(*kept),
-                      [kept, self = shared_from_this()](error_code, std::size_t n) { self->said += n; });
+  void SendBytes(std::string text) {
+    const auto pending_bytes = std::make_shared<std::string>(std::move(text));
+    asio::async_write(socket, asio::buffer(*pending_bytes),
+                      [pending_bytes, self = shared_from_this()](error_code, std::size_t n) {
+                        self->sent_byte_count += n;
+                      });
   }
   void HalfClose() {
     error_code ignored;
@@ -45,22 +51,22 @@
     socket.set_option(asio::socket_base::linger(true, 0), ignored);
     socket.close(ignored);
   }
-  bool over() const { return ended || reset; }
+  bool is_read_closed() const { return ended || reset; }
 
   tcp::socket socket;
-  std::array<char, 16384> piece;
-  std::string got;
-  std::size_t all = 0, said = 0;
-  bool reads = true, keeps = true, ended = false, reset = false;
-  std::function<void(std::string_view)> heard;
-  std::function<void()> at_end;
+  std::array<char, 16384> read_buffer;
+  std::string received_bytes;
+  std::size_t received_byte_count = 0, sent_byte_count = 0;  // totals on this connection
+  bool reads_enabled = true, stores_received_bytes = true, ended = false, reset = false;
+  std::function<void(std::string_view)> on_bytes_received;
+  std::function<void()> on_connection_end;
 };
 
 class RawServer {
  public:
-  using Habit = std::function<void(const std::shared_ptr<RawEnd>&)>;
-  explicit RawServer(asio::io_context& io, Habit habit = nullptr)
-      : acceptor_(io, Loopback()), habit_(std::move(habit)) {
+  using ConnectionHandler = std::function<void(const std::shared_ptr<RawEnd>&)>;
+  explicit RawServer(asio::io_context& io, ConnectionHandler connection_handler = nullptr)
+      : acceptor_(io, Loopback()), connection_handler_(std::move(connection_handler)) {
     Accept();
   }
   ~RawServer() {
@@ -71,10 +77,10 @@
   void StopListening() { acceptor_.close(); }
   std::vector<std::shared_ptr<RawEnd>> ends;
 
-  // Gives back what it gets, and its end.
+  // A connection handler that sends all received bytes back and half-closes when reading ends.
   static void Echo(const std::shared_ptr<RawEnd>& end) {
-    end->heard = [raw = end.get()](std::string_view text) { raw->Say(std::string(text)); };
-    end->at_end = [raw = end.get()] { raw->HalfClose(); };
+    end->on_bytes_received = [raw = end.get()](std::string_view text) { raw->SendBytes(std::string(text)); };
+    end->on_connection_end = [raw = end.get()] { raw->HalfClose(); };
   }
 
  private:
@@ -82,24 +88,25 @@
     acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
       if (ec) return;
       ends.push_back(std::make_shared<RawEnd>(std::move(socket)));
-      if (habit_) habit_(ends.back());
+      if (connection_handler_) connection_handler_(ends.back());
       ends.back()->Read();
       Accept();
     });
   }
   tcp::acceptor acceptor_;
-  Habit habit_;
+  ConnectionHandler connection_handler_;
 };
 
-inline std::shared_ptr<RawEnd> RawConnect(asio::io_context& io, const tcp::endpoint& at) {
+inline std::shared_ptr<RawEnd> RawConnect(asio::io_context& io, const tcp::endpoint& socket_address) {
   tcp::socket socket(io);
-  socket.connect(at);
+  socket.connect(socket_address);
   const auto end = std::make_shared<RawEnd>(std::move(socket));
   end->Read();
   return end;
 }
 
-// A whole SOCKS5 handshake for a name, without credentials or with them.
+// All client bytes of a SOCKS5 handshake (RFC 1928) that connects to a domain name; with username/password
+// authentication (RFC 1929) if `user` is not empty.
 inline std::string SocksCall(const std::string& name, int port = 443, const std::string& user = "",
                              const std::string& password = "") {
   std::string text = user.empty() ? std::string("\x05\x01\x00", 3) : std::string("\x05\x01\x02", 3);
@@ -110,7 +117,7 @@
   text += std::string("\x05\x01\x00\x03", 4) + static_cast<char>(name.size()) + name;
   return text + static_cast<char>(port >> 8) + static_cast<char>(port & 255);
 }
-constexpr std::size_t kSocksReply = 12;  // the method, and a reply with an IPv4 address
+constexpr std::size_t kSocksReplyBytes = 12;  // bytes: the method selection and a reply with an IPv4 address
 
 inline std::string ConnectCall(const std::string& authority) {
   return "CONNECT " + authority + " HTTP/1.1\r\nHost: " + authority + "\r\n\r\n";
--- a/tests/service.hpp
+++ b/tests/service.hpp
@@ -23,7 +23,7 @@
     directory = mkdtemp(name);
     for (int i = 0; i < 2; ++i) {
       hosts.push_back(std::make_unique<Peer>(io));
-      hosts.back()->serve = [](const Peer::Taken& request) {
+      hosts.back()->serve = [](const Peer::ReceivedRequest& request) {
         if (request.http["Req-Key"] != "keep") request.Answer(200, std::string(request.http["Req-Id"]));
       };
     }
--- a/tests/stream_test.cpp
+++ b/tests/stream_test.cpp
@@ -129,7 +129,7 @@
     EXPECT_TRUE(parser.get().body() == body);
     EXPECT_TRUE(parser.get().keep_alive());
     host->text.clear();
-    fixture.world.LetHostsRest();
+    fixture.world.WaitUntilConnectionsReusable();
     client->Write(ApiCall(chunked ? "s1" : "s0"));  // on the same two connections
     ASSERT_TRUE(fixture.world.Until([&] { return host->Read() > 0; }));
     error_code ignored;
@@ -224,7 +224,7 @@
     return client.text.ends_with("ok");
   }));
   EXPECT_TRUE(client.text.starts_with("HTTP/1.1 200"));
-  fixture.world.LetHostsRest();
+  fixture.world.WaitUntilConnectionsReusable();
   client.Write(ApiCall("r2"));
   host->text.clear();
   EXPECT_TRUE(fixture.world.Until([&] { return host->Read() > 0; }))
@@ -302,7 +302,7 @@
     const auto client = world.Connect();
     client->Send(RequestHeader("r" + std::to_string(i), "Content-Length: 1000000") + PatternText(100000));
     ASSERT_TRUE(world.Until([&] { return connections_to_hosts() > i; }));
-    client->Leave();
+    client->CloseConnection();
     ASSERT_TRUE(world.Until([&] {
       return std::all_of(world.hosts.begin(), world.hosts.end(), [](const auto& host) {
         return std::all_of(host->connections.begin(), host->connections.end(),
@@ -310,13 +310,13 @@
       });
     }));
   }
-  EXPECT_EQ(world.Figures()["cluster_unhealthy"], 0);
+  EXPECT_EQ(world.ReadMetrics()["cluster_unhealthy"], 0);
 }
 
 // Guards against clients that send Expect: 100-continue waiting forever for permission to send the body.
 TEST(Stream, AnswersExpectContinueWithAnInterimAnswer) {
   World world;
-  world.host().serve = [](const Peer::Taken& taken) { taken.Answer(200, taken.http.body()); };
+  world.host().serve = [](const Peer::ReceivedRequest& taken) { taken.Answer(200, taken.http.body()); };
   RawSocket client(world.io, world.gateway->address());
   client.Write(RequestHeader("r1", "Content-Length: 4\r\nExpect: 100-continue"));
   EXPECT_TRUE(world.Until([&] {
--- a/tests/tunnel_process_test.cpp
+++ b/tests/tunnel_process_test.cpp
@@ -18,7 +18,7 @@
     for (tcp::endpoint* listen_address :
          {&listen, &socks, &socks_with_credentials, &connect, &connect_with_credentials})
       *listen_address = FreePort();
-    host.serve = [](const Peer::Taken& request) {
+    host.serve = [](const Peer::ReceivedRequest& request) {
       request.Answer(200, "hello " + std::string(request.http.target()));
     };
     const nlohmann::json config = {{"seed", "1f"},
@@ -153,15 +153,15 @@
   const auto send_piece = [&](Stream& stream) {
     std::string piece(kPieceBytes, 0);
     for (char& c : piece) c = static_cast<char>(stream.sent_pattern());
-    stream.end->Say(std::move(piece));
+    stream.end->SendBytes(std::move(piece));
   };
   for (std::size_t i = 0; i < kTunnelCount; ++i) {
     streams.push_back(std::make_unique<Stream>());
     Stream& stream = *streams.back();
     stream.sent_pattern.seed(i), stream.expected_pattern.seed(i);
     stream.end = RawConnect(fixture.io, fixture.socks);
-    stream.end->keeps = false;
-    stream.end->heard = [&, reply_bytes_left = kSocksReply](std::string_view bytes) mutable {
+    stream.end->stores_received_bytes = false;
+    stream.end->on_bytes_received = [&, reply_bytes_left = kSocksReplyBytes](std::string_view bytes) mutable {
       for (const char c : bytes) {
         if (reply_bytes_left > 0) {
           opened += --reply_bytes_left == 0;
@@ -171,7 +171,7 @@
         if (++stream.checked % kPieceBytes == 0 && sending) send_piece(stream);
       }
     };
-    stream.end->Say(SocksCall("x.y"));
+    stream.end->SendBytes(SocksCall("x.y"));
     send_piece(stream);
     send_piece(stream);
   }
@@ -194,12 +194,12 @@
   for (const auto& stream : streams) stream->end->HalfClose();
   ASSERT_TRUE(RunUntil(fixture.io, [&] {
     return std::all_of(streams.begin(), streams.end(),
-                       [](const auto& stream) { return stream->end->over(); });
+                       [](const auto& stream) { return stream->end->is_read_closed(); });
   }));
   for (const auto& stream : streams) {
     EXPECT_FALSE(stream->mismatch);
     EXPECT_TRUE(stream->end->ended);
-    EXPECT_EQ(stream->checked + SocksCall("x.y").size(), stream->end->said);
+    EXPECT_EQ(stream->checked + SocksCall("x.y").size(), stream->end->sent_byte_count);
   }
 }
 
--- a/tests/tunnel_test.cpp
+++ b/tests/tunnel_test.cpp
@@ -37,11 +37,12 @@
   // Opens a SOCKS5 tunnel and discards what was received until then: the two replies.
   std::shared_ptr<RawEnd> OpenSocksTunnel(const std::string& to = "a.stock.internal") {
     const auto client = ConnectToSocksListener();
-    client->Say(SocksCall(to));
-    EXPECT_TRUE(world.Until([&] { return client->got.size() >= kSocksReply || client->over(); }));
-    EXPECT_EQ(client->got.substr(0, 4), "\x05\0\x05\0"s);
-    client->got.clear();
-    client->all = 0;
+    client->SendBytes(SocksCall(to));
+    EXPECT_TRUE(world.Until(
+        [&] { return client->received_bytes.size() >= kSocksReplyBytes || client->is_read_closed(); }));
+    EXPECT_EQ(client->received_bytes.substr(0, 4), "\x05\0\x05\0"s);
+    client->received_bytes.clear();
+    client->received_byte_count = 0;
     return client;
   }
   // The number of tunnels that ended with this cause.
@@ -50,7 +51,7 @@
     return status["ended"].value(cause, 0);
   }
   int CountRequestsWith(const std::string& outcome) { return front().Status()["asked"].value(outcome, 0); }
-  nlohmann::json Figures() { return world.Figures(); }
+  nlohmann::json ReadMetrics() { return world.ReadMetrics(); }
   std::string PutToAdmin(const std::string& path) {
     Client admin_client(world.io, world.gateway->admin_address());
     admin_client.Send("PUT " + path + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
@@ -78,16 +79,16 @@
   const std::string text = RandomBytes(3 << 20, 7);
   for (const bool socks : {true, false}) {
     const auto client = socks ? fixture.ConnectToSocksListener() : fixture.ConnectToHttpListener();
-    client->Say((socks ? SocksCall("a.stock.internal") : ConnectCall("a.stock.internal:443")) + text);
-    ASSERT_TRUE(fixture.world.Until([&] { return client->said > text.size(); }));
+    client->SendBytes((socks ? SocksCall("a.stock.internal") : ConnectCall("a.stock.internal:443")) + text);
+    ASSERT_TRUE(fixture.world.Until([&] { return client->sent_byte_count > text.size(); }));
     client->HalfClose();
-    ASSERT_TRUE(fixture.world.Until([&] { return client->over(); }));
+    ASSERT_TRUE(fixture.world.Until([&] { return client->is_read_closed(); }));
     EXPECT_TRUE(client->ended);
     const std::string reply_head =
         socks ? "\x05\0\x05\0\0\x01"s : "HTTP/1.1 200 Connection established\r\n\r\n"s;
-    EXPECT_EQ(client->got.substr(0, reply_head.size()), reply_head);
-    EXPECT_EQ(client->got.size(), text.size() + (socks ? kSocksReply : reply_head.size()));
-    EXPECT_TRUE(client->got.ends_with(text));
+    EXPECT_EQ(client->received_bytes.substr(0, reply_head.size()), reply_head);
+    EXPECT_EQ(client->received_bytes.size(), text.size() + (socks ? kSocksReplyBytes : reply_head.size()));
+    EXPECT_TRUE(client->received_bytes.ends_with(text));
   }
   EXPECT_TRUE(fixture.world.Until([&] { return fixture.CountEndedWith("ended") == 2; }));
   EXPECT_EQ(fixture.front().open(), 0u);
@@ -110,26 +111,26 @@
   };
   for (const Case& c : {Case{"denied.org", 2, "403"}, Case{"a.stock.internal", 5, "502"}}) {
     const auto socks = fixture.ConnectToSocksListener(), connect = fixture.ConnectToHttpListener();
-    socks->Say(SocksCall(c.to));
+    socks->SendBytes(SocksCall(c.to));
     ASSERT_TRUE(fixture.world.Until([&] { return socks->ended; })) << c.to;
-    EXPECT_EQ(socks->got.substr(2), "\x05"s + c.socks + "\0\x01\0\0\0\0\0\0"s) << c.to;
-    connect->Say(ConnectCall(c.to + ":443"));
+    EXPECT_EQ(socks->received_bytes.substr(2), "\x05"s + c.socks + "\0\x01\0\0\0\0\0\0"s) << c.to;
+    connect->SendBytes(ConnectCall(c.to + ":443"));
     ASSERT_TRUE(fixture.world.Until([&] { return connect->ended; })) << c.to;
-    EXPECT_EQ(connect->got.substr(9, 3), c.status) << connect->got;
+    EXPECT_EQ(connect->received_bytes.substr(9, 3), c.status) << connect->received_bytes;
   }
   const auto open = fixture.OpenSocksTunnel("b.fleet.internal");  // reaches the limit of this client address
   const auto second = fixture.ConnectToHttpListener();
-  second->Say(ConnectCall("b.fleet.internal:443"));
+  second->SendBytes(ConnectCall("b.fleet.internal:443"));
   ASSERT_TRUE(fixture.world.Until([&] { return second->ended; }));
-  EXPECT_EQ(second->got.substr(9, 3), "503");
-  EXPECT_NE(second->got.find("\r\nRetry-After: 1\r\n"), std::string::npos);
+  EXPECT_EQ(second->received_bytes.substr(9, 3), "503");
+  EXPECT_NE(second->received_bytes.find("\r\nRetry-After: 1\r\n"), std::string::npos);
   EXPECT_EQ(fixture.CountRequestsWith("limit_address"), 1);
   EXPECT_EQ(fixture.CountRequestsWith("denied"), 2);
   EXPECT_EQ(fixture.CountRequestsWith("unreachable"), 2);
-  EXPECT_EQ(fixture.Figures()["current"], 1);
+  EXPECT_EQ(fixture.ReadMetrics()["current"], 1);
   open->Reset();
   EXPECT_TRUE(fixture.world.Until([&] { return fixture.front().open() == 0; }));
-  const auto metrics = fixture.Figures();
+  const auto metrics = fixture.ReadMetrics();
   EXPECT_EQ(metrics["current"], 0);
   EXPECT_EQ(metrics["transactions"]["tunnel"]["answered"], 1);
 }
@@ -144,21 +145,21 @@
   const auto fleet = fixture.OpenSocksTunnel("a.fleet.internal"),
              one = fixture.OpenSocksTunnel("one.internal"), stock = fixture.OpenSocksTunnel();
   EXPECT_EQ(fixture.PutToAdmin("/maintenance/enter?target=h0"), "left out\n");
-  EXPECT_TRUE(fixture.world.Until([&] { return fleet->over() && one->over(); }));
+  EXPECT_TRUE(fixture.world.Until([&] { return fleet->is_read_closed() && one->is_read_closed(); }));
   EXPECT_EQ(fixture.CountEndedWith("out by hand"), 2);
-  EXPECT_FALSE(stock->over());
+  EXPECT_FALSE(stock->is_read_closed());
   const auto rejected = fixture.ConnectToSocksListener();
-  rejected->Say(SocksCall("one.internal"));
+  rejected->SendBytes(SocksCall("one.internal"));
   EXPECT_TRUE(fixture.world.Until([&] { return rejected->ended; }));
-  EXPECT_EQ(rejected->got[3], '\x01');
+  EXPECT_EQ(rejected->received_bytes[3], '\x01');
   EXPECT_EQ(fixture.PutToAdmin("/maintenance/exit?target=h0"), "put back\n");
   const auto reopened = fixture.OpenSocksTunnel("one.internal");
   ASSERT_TRUE(fixture.world.Until([&] { return !fixture.world.discovery.requests.empty(); }));
   fixture.world.discovery.requests.back().Answer(
       200, List(42, false, {Member("h0", fixture.world.host().address(), "draining")}).dump());
-  EXPECT_TRUE(fixture.world.Until([&] { return reopened->over(); }));
+  EXPECT_TRUE(fixture.world.Until([&] { return reopened->is_read_closed(); }));
   EXPECT_EQ(fixture.PutToAdmin("/maintenance/enter?target=s1"), "left out\n");
-  EXPECT_TRUE(fixture.world.Until([&] { return stock->over(); }));
+  EXPECT_TRUE(fixture.world.Until([&] { return stock->is_read_closed(); }));
   EXPECT_EQ(fixture.CountEndedWith("out by hand"), 3);
   EXPECT_EQ(fixture.front().open(), 0u);
 }
@@ -173,16 +174,17 @@
                                            "parent = { protocol = \"connect\", address = \"" +
                                                ToText(parent.address()) + "\" }"))));
   const auto client = fixture.ConnectToSocksListener();
-  client->Say(SocksCall("a.stock.internal") + "early");
+  client->SendBytes(SocksCall("a.stock.internal") + "early");
   ASSERT_TRUE(fixture.world.Until(
-      [&] { return parent.ends.size() == 1 && parent.ends[0]->got.ends_with("\r\n\r\n"); }));
+      [&] { return parent.ends.size() == 1 && parent.ends[0]->received_bytes.ends_with("\r\n\r\n"); }));
   EXPECT_EQ(fixture.PutToAdmin("/maintenance/enter?target=s1"), "left out\n");
-  parent.ends[0]->Say("HTTP/1.1 200 OK\r\n\r\n");
-  ASSERT_TRUE(fixture.world.Until([&] { return client->over(); }));
-  EXPECT_EQ(client->got.substr(2, 1), "\x05");
-  EXPECT_NE(client->got[3], '\0');
+  parent.ends[0]->SendBytes("HTTP/1.1 200 OK\r\n\r\n");
+  ASSERT_TRUE(fixture.world.Until([&] { return client->is_read_closed(); }));
+  EXPECT_EQ(client->received_bytes.substr(2, 1), "\x05");
+  EXPECT_NE(client->received_bytes[3], '\0');
   EXPECT_EQ(fixture.CountRequestsWith("opened"), 0);
-  EXPECT_EQ(parent.ends[0]->got.find("early"), std::string::npos);  // no data of the client was sent to it
+  EXPECT_EQ(parent.ends[0]->received_bytes.find("early"),
+            std::string::npos);  // no data of the client was sent to it
 }
 
 // Guards tunnels through a parent proxy: data that follows its handshake reply is the host's and reaches the
@@ -199,8 +201,8 @@
         Case{true, "", false}}) {
     TunnelFixture fixture(Loopback(1));
     RawServer parent(fixture.world.io, [&](const std::shared_ptr<RawEnd>& end) {
-      end->heard = [raw = end.get(), &c, said = false](std::string_view) mutable {
-        if (!std::exchange(said, true)) raw->Say(c.parent_says);
+      end->on_bytes_received = [raw = end.get(), &c, has_replied = false](std::string_view) mutable {
+        if (!std::exchange(has_replied, true)) raw->SendBytes(c.parent_says);
       };
     });
     fixture.world.gateway->ReloadEdge(std::make_shared<const meadowyard::EdgeConfig>(meadowyard::ParseEdge(
@@ -208,12 +210,14 @@
                                              "parent = { protocol = \""s + (c.socks ? "socks5" : "connect") +
                                                  "\", address = \"" + ToText(parent.address()) + "\" }"))));
     const auto client = fixture.ConnectToSocksListener();
-    client->Say(SocksCall("a.stock.internal"));
-    ASSERT_TRUE(fixture.world.Until(
-        [&] { return client->got.size() >= kSocksReply + (c.opens ? 5 : 0) || client->over(); }));
-    EXPECT_EQ(client->got[3] == '\0', c.opens) << c.parent_says;
+    client->SendBytes(SocksCall("a.stock.internal"));
+    ASSERT_TRUE(fixture.world.Until([&] {
+      return client->received_bytes.size() >= kSocksReplyBytes + (c.opens ? 5 : 0) ||
+             client->is_read_closed();
+    }));
+    EXPECT_EQ(client->received_bytes[3] == '\0', c.opens) << c.parent_says;
     if (c.opens) {
-      EXPECT_TRUE(client->got.ends_with("hello"));
+      EXPECT_TRUE(client->received_bytes.ends_with("hello"));
     }
     if (!c.opens) {
       EXPECT_TRUE(fixture.world.Until([&] { return client->ended; }));
@@ -224,13 +228,14 @@
 // Guards against unbounded memory for a client that stops reading while the host sends at full speed.
 TEST(Tunnels, BoundTheDataBufferedForAStalledReader) {
   TunnelFixture fixture(Loopback(1));
-  RawServer sending_host(fixture.world.io,
-                         [](const std::shared_ptr<RawEnd>& end) { end->Say(std::string(64 << 20, 'x')); });
+  RawServer sending_host(fixture.world.io, [](const std::shared_ptr<RawEnd>& end) {
+    end->SendBytes(std::string(64 << 20, 'x'));
+  });
   fixture.world.gateway->ReloadEdge(std::make_shared<const meadowyard::EdgeConfig>(
       meadowyard::ParseEdge("edge.toml", TunnelFixture::EdgeToml(sending_host.address()))));
   const auto client = fixture.ConnectToSocksListener();
-  client->reads = false;  // applies after the read in progress
-  client->Say(SocksCall("a.stock.internal"));
+  client->reads_enabled = false;  // applies after the read in progress
+  client->SendBytes(SocksCall("a.stock.internal"));
   std::uint64_t before = 1, now = 0;
   const auto bytes_down = [&] {
     const auto status = fixture.front().Status();
@@ -245,11 +250,11 @@
   // The data in transit is held by the kernel buffers of the two connections and one relay buffer: far less
   // than the 64 MiB that the host sends.
   EXPECT_LT(now, 48u << 20);
-  EXPECT_EQ(sending_host.ends[0]->said, 0u);
-  client->keeps = false;
-  client->reads = true;
+  EXPECT_EQ(sending_host.ends[0]->sent_byte_count, 0u);
+  client->stores_received_bytes = false;
+  client->reads_enabled = true;
   client->Read();
-  EXPECT_TRUE(fixture.world.Until([&] { return client->all >= (64u << 20); }));
+  EXPECT_TRUE(fixture.world.Until([&] { return client->received_byte_count >= (64u << 20); }));
 }
 
 // Guards against sockets that stay open after a reset in any state; a reset of an open tunnel reaches the
@@ -262,8 +267,8 @@
   const std::string handshake = SocksCall("a.stock.internal");
   for (std::size_t cut = 1; cut < handshake.size(); ++cut) {  // reset within the handshake
     const auto client = fixture.ConnectToSocksListener();
-    client->Say(handshake.substr(0, cut));
-    ASSERT_TRUE(fixture.world.Until([&] { return client->said == cut; }));
+    client->SendBytes(handshake.substr(0, cut));
+    ASSERT_TRUE(fixture.world.Until([&] { return client->sent_byte_count == cut; }));
     client->Reset();
   }
   EXPECT_TRUE(fixture.world.Until([&] { return fixture.front().Status()["handshakes"] == 0; }));
@@ -278,7 +283,7 @@
   const auto half_closed =
       fixture.OpenSocksTunnel();  // the client half-closes, so it is not read from any more
   ASSERT_TRUE(fixture.world.Until([&] { return echo.ends.size() == 3; }));
-  echo.ends[2]->at_end = nullptr;
+  echo.ends[2]->on_connection_end = nullptr;
   half_closed->HalfClose();
   ASSERT_TRUE(fixture.world.Until([&] { return echo.ends[2]->ended; }));
   half_closed->Reset();
@@ -297,13 +302,14 @@
   std::vector<std::shared_ptr<RawEnd>> incomplete;
   for (int i = 0; i < 1000; ++i) {
     incomplete.push_back(fixture.ConnectToSocksListener());
-    incomplete.back()->Say("\x05");
+    incomplete.back()->SendBytes("\x05");
     fixture.world.io.poll();
     EXPECT_LE(fixture.front().Status()["handshakes"], 20);
   }
   fixture.OpenSocksTunnel();
   EXPECT_TRUE(fixture.world.Until([&] {
-    return std::all_of(incomplete.begin(), incomplete.end(), [](const auto& end) { return end->over(); });
+    return std::all_of(incomplete.begin(), incomplete.end(),
+                       [](const auto& end) { return end->is_read_closed(); });
   }));
   EXPECT_EQ(fixture.CountRequestsWith("handshake_evicted") + fixture.CountRequestsWith("handshake_timeout"),
             1000);
@@ -317,8 +323,8 @@
   fixture.world.gateway->ReloadEdge(std::make_shared<const meadowyard::EdgeConfig>(
       meadowyard::ParseEdge("edge.toml", TunnelFixture::EdgeToml(echo.address()))));
   const auto client = fixture.OpenSocksTunnel();
-  client->Say("hello");
-  ASSERT_TRUE(fixture.world.Until([&] { return client->got == "hello"; }));
+  client->SendBytes("hello");
+  ASSERT_TRUE(fixture.world.Until([&] { return client->received_bytes == "hello"; }));
   Client admin_client(fixture.world.io, fixture.world.gateway->admin_address());
   admin_client.Send("GET /status/tunnels HTTP/1.1\r\nHost: x\r\n\r\n");
   const auto listed = nlohmann::json::parse(admin_client.Await().body());
@@ -329,12 +335,12 @@
   EXPECT_EQ(fixture.PutToAdmin("/tunnels/close?id=x"), "id: one tunnel's number is wanted\n");
   EXPECT_EQ(fixture.PutToAdmin("/tunnels/close?id=999"), "no tunnel has this number\n");
   EXPECT_EQ(fixture.PutToAdmin("/tunnels/close?id=" + listed["tunnels"][0]["id"].dump()), "closed\n");
-  EXPECT_TRUE(fixture.world.Until([&] { return client->over(); }));
+  EXPECT_TRUE(fixture.world.Until([&] { return client->is_read_closed(); }));
   EXPECT_EQ(fixture.CountEndedWith("closed by operator"), 1);
   fixture.world.gateway->ReloadEdge(std::make_shared<const meadowyard::EdgeConfig>(
       meadowyard::ParseEdge("edge.toml", TunnelFixture::EdgeToml(echo.address(), "idle_ms = 200\n"))));
   const auto idle = fixture.OpenSocksTunnel();
-  EXPECT_TRUE(fixture.world.Until([&] { return idle->over(); }));
+  EXPECT_TRUE(fixture.world.Until([&] { return idle->is_read_closed(); }));
   EXPECT_EQ(fixture.CountEndedWith("idle"), 1);
 }
 
@@ -373,8 +379,8 @@
   std::vector<std::shared_ptr<RawEnd>> denied;
   for (int i = 0; i < 60; ++i) {
     denied.push_back(fixture.ConnectToHttpListener());
-    denied.back()->reads = false;  // so it does not close
-    denied.back()->Say(ConnectCall("nobody.example:443"));
+    denied.back()->reads_enabled = false;  // so it does not close
+    denied.back()->SendBytes(ConnectCall("nobody.example:443"));
     ASSERT_TRUE(fixture.world.Until([&] { return fixture.CountRequestsWith("denied") > i; }));
     EXPECT_LE(fixture.front().Status()["handshakes"].get<int>(), 8);
   }
@@ -399,11 +405,12 @@
   EXPECT_THROW(load_edge(std::string(file).replace(file.find("most = 50"), 9, "most = 500")),
                meadowyard::EdgeError);
   const auto second_client = fixture.OpenSocksTunnel();
-  EXPECT_FALSE(client->over());
+  EXPECT_FALSE(client->is_read_closed());
   std::string reduced_file = file;
   reduced_file.replace(reduced_file.find("s1"), 2, "s2");
   load_edge(reduced_file);
-  EXPECT_TRUE(fixture.world.Until([&] { return client->over() && second_client->over(); }));
+  EXPECT_TRUE(
+      fixture.world.Until([&] { return client->is_read_closed() && second_client->is_read_closed(); }));
   EXPECT_EQ(fixture.CountEndedWith("gone"), 2);
   fixture.OpenSocksTunnel();
 }
