--- a/src/upstream/connection.hpp
+++ b/src/upstream/connection.hpp
@@ -10,9 +10,9 @@
 #include <optional>
 #include <string>
 
-#include "upstream/answer_reader.hpp"
 #include "upstream/host_pool.hpp"
 #include "upstream/request_writer.hpp"
+#include "upstream/response_reader.hpp"
 
 namespace meadowyard {
 
--- a/src/upstream/answer_reader.cpp
+++ b/src/upstream/response_reader.cpp
@@ -1,4 +1,4 @@
-#include "upstream/answer_reader.hpp"
+#include "upstream/response_reader.hpp"
 
 #include <algorithm>
 #include <boost/asio/post.hpp>
--- a/src/upstream/answer_reader.hpp
+++ b/src/upstream/response_reader.hpp
@@ -1,8 +1,8 @@
 /// @file
 /// Reads a host's HTTP/1.1 responses from a connection: short ones are buffered completely, long ones are
 /// streamed piece by piece on request.
-#ifndef MEADOWYARD_UPSTREAM_ANSWER_READER_HPP_
-#define MEADOWYARD_UPSTREAM_ANSWER_READER_HPP_
+#ifndef MEADOWYARD_UPSTREAM_RESPONSE_READER_HPP_
+#define MEADOWYARD_UPSTREAM_RESPONSE_READER_HPP_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -75,4 +75,4 @@
 
 }  // namespace meadowyard
 
-#endif  // MEADOWYARD_UPSTREAM_ANSWER_READER_HPP_
+#endif  // MEADOWYARD_UPSTREAM_RESPONSE_READER_HPP_
