--- a/src/fronts/tunnel/tunnel.hpp
+++ b/src/fronts/tunnel/tunnel.hpp
@@ -74,7 +74,7 @@
   static std::optional<SavedState> Parse(std::string_view text);
 
  private:
-  // One direction of the relay: bytes received on `from` are sent on `to`.
+  // One direction of the relay: forwards the bytes received from `from` to `to`.
   struct Direction {
     Socket& from;
     Socket& to;
