--- a/tests/terms.sh
+++ b/tests/terms.sh
@@ -27,7 +27,8 @@
 pattern_of() {
   entries "$lists/withdrawn_terms.txt" | while IFS= read -r entry; do
     word=${entry%% | *}
-    scope=${entry##*|}
+    scope=${entry#* | }  # TERM | PACKAGES; PACKAGES may contain further bars
+    scope=${scope#*|}
     scope=${scope# }
     [[ -z $scope || $1 =~ ^($scope)(/|$) ]] && printf '%s|' "${word// / +}"
     true
